--- a/features/steps/core_admission_steps.py
+++ b/features/steps/core_admission_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from alderhatch.core.crash_watch import fingerprint_of
+from alderhatch.core.crash_detector import fingerprint_of
 from alderhatch.core.entry_events import (
     Answered,
     CallerGone,
--- a/features/steps/core_crash_steps.py
+++ b/features/steps/core_crash_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from alderhatch.core.crash_watch import CRASH_LIMIT
+from alderhatch.core.crash_detector import CRASH_LIMIT
 from alderhatch.core.entry_events import (
     Answered,
     AttemptFailed,
--- a/features/steps/entry_control_steps.py
+++ b/features/steps/entry_control_steps.py
@@ -163,7 +163,9 @@
 async def _until_tier_knows(here):
     """Wait until the crashes so far are known everywhere, as the caller waits who sends again."""
     crashes = sum(server.counts.crashes for server in here.upstream.servers)
-    while crashes >= 2 and not all(e.core._state.crashes.tier_wide for e in here.entries):
+    while crashes >= 2 and not all(
+        e.core._state.crashes.quarantined_tier_wide for e in here.entries
+    ):
         await trio.sleep(0.01)
 
 
--- a/features/steps/late_crash_steps.py
+++ b/features/steps/late_crash_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from alderhatch.clock import SECOND
-from alderhatch.core.crash_watch import CrashWatch
+from alderhatch.core.crash_detector import CrashDetector
 from alderhatch.core.entry_events import AttemptFault
 from alderhatch.core.forwarding.crash_tally import FORGET_AFTER, CrashTally
 from features.steps.caller_hosts_steps import UPSTREAM, node_before_servers
@@ -15,19 +15,19 @@
 
 @given("a body that was lost on two servers, {between}")
 def step_lost(context, between):
-    watch = context.watch = CrashWatch(QUARANTINE)
+    watch = context.watch = CrashDetector(QUARANTINE)
     for server in SERVERS:
-        watch.lost(BODY, "an upstream", server, 0.0)
+        watch.record_loss(BODY, "an upstream", server, 0.0)
     if "ran on" in between:
         for server in SERVERS:
-            watch.runs_on(server, 10.0)
+            watch.record_alive(server, 10.0)
 
 
 @when("each of them is seen {seconds:d} s later to be {seen}")
 def step_seen(context, seconds, seen):
     context.now = seconds * SECOND
     for server in SERVERS:
-        context.watch.confirm(server, context.now, seen == "another process")
+        context.watch.confirm_crashes(server, context.now, seen == "another process")
 
 
 @then("the body is held to crash servers")
--- a/src/alderhatch/core/admission.py
+++ b/src/alderhatch/core/admission.py
@@ -35,7 +35,7 @@
     run: Run
 
 
-class UpstreamGate:
+class UpstreamLimiter:
     """One upstream's part of the admission.
 
     It bounds how many shards of admitted requests are open at this entry. The bound follows the
@@ -67,7 +67,7 @@
         """A moving mean of the time between admissions while requests wait."""
         self.latency: Millis = 0.0
         """A moving mean of the shard requests' latencies."""
-        self.pressed = False
+        self.overloaded = False
         """Whether there was overload lately, so that lower classes are held back."""
         self._urgent_at: Millis = NEVER
         """When an urgent request was last admitted."""
@@ -78,7 +78,7 @@
         self._number = 0
         self._shares = (1.0, policy.normal_share, policy.batch_share)
 
-    def fits(self, run: Run) -> bool:
+    def has_capacity_for(self, run: Run) -> bool:
         """Return whether a request may start now."""
         if self.open == 0:
             return True
@@ -94,16 +94,16 @@
     def _lower_limit(self) -> float:
         # The requests that are held back for a server need something to hold back: with none left
         # a server has gaps, seen as less useful work.
-        return self.limit * self.policy.ahead if self.pressed else self.limit
+        return self.limit * self.policy.ahead if self.overloaded else self.limit
 
     @property
     def window(self) -> float:
         """How many shard requests of lower classes may be out for each slot, while pressed."""
         return self.limit / self.slots
 
-    def enter(self, run: Run, units: int, now: Millis) -> None:
+    def admit(self, run: Run, units: int, now: Millis) -> None:
         """Admit a request with all of its shards."""
-        run.gate = self
+        run.limiter = self
         run.units = units
         run.admitted_at = now
         self.open += units
@@ -117,7 +117,7 @@
             self.gap += GAP_WEIGHT * (gap - self.gap) if self.gap else gap
         self._last_admission = now
 
-    def leave(self, run: Run, units: int) -> None:
+    def release_shards(self, run: Run, units: int) -> None:
         """Give back some of what a request holds."""
         if units > run.units:
             units = run.units
@@ -137,13 +137,13 @@
         ahead = self.waiting.bisect_left((rank + 1,))
         return (ahead + 1) * self.gap if ahead else 0.0
 
-    def put(self, run: Run) -> None:
+    def enqueue(self, run: Run) -> None:
         """Let a request wait."""
         self._number += 1
         self._backlog = True
         self.waiting.add(_Waiting(run.rank, run.deadline, self._number, run))
 
-    def evict_below(self, rank: int) -> Run | None:
+    def evict_lower_priority(self, rank: int) -> Run | None:
         """Take out the request that matters least if it is of a lower class, or return None."""
         if not self.waiting or self.waiting[-1].rank <= rank:
             return None
@@ -161,7 +161,7 @@
                 return False
         return False
 
-    def next(self) -> Run | None:
+    def dequeue(self) -> Run | None:
         """Take out and return the first waiting request that may start, or return None."""
         if not self.waiting:
             return None
@@ -169,7 +169,7 @@
             return None
         for index in range(min(SCAN, len(self.waiting))):
             run: Run = self.waiting[index].run
-            if self.fits(run):
+            if self.has_capacity_for(run):
                 del self.waiting[index]
                 return run
         return None
@@ -195,7 +195,9 @@
         # With nobody urgent about, whoever is held back is held back for nobody, seen as queries
         # refused after the loss of a zone though the servers left could have run them.
         urgent = now - self._urgent_at < URGENT_REMEMBERED
-        self.pressed = urgent and (self.pressed or self._reported > self.policy.overload_queue)
+        self.overloaded = urgent and (
+            self.overloaded or self._reported > self.policy.overload_queue
+        )
         self._move_lower()
         self._move_urgent()
         self._backlog = bool(self.waiting)
@@ -204,13 +206,13 @@
         policy = self.policy
         backlog = self._backlog or bool(self.waiting)
         low, high = policy.queue_low, policy.queue_high
-        if self.pressed:
+        if self.overloaded:
             low, high = policy.lower_queue_low, policy.lower_queue_high
         if self.queue > high:
             # A host that is short of processor time sees long latencies of servers that are idle.
             # Taken for overload, it would hold lower classes back that nothing stands against,
             # seen as refusals in the quiet hours.
-            lowest = policy.min_lower_limit if self.pressed else policy.min_limit
+            lowest = policy.min_lower_limit if self.overloaded else policy.min_limit
             self.limit = max(lowest, self.limit * policy.limit_shrink)
         elif self.queue < low:
             # Held at its lowest after an overload until requests wait again, the limit would make
@@ -220,7 +222,7 @@
             # For a moment there is no backlog under overload too. Taken for its end, it would let
             # through what is held back, seen as urgent queries that take twice their time.
             if not backlog and self.limit >= self.slots:
-                self.pressed = False
+                self.overloaded = False
 
     def _move_urgent(self) -> None:
         policy = self.policy
@@ -242,25 +244,25 @@
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
-        self.gates: dict[str, UpstreamGate] = {}
+        self.limiters: dict[str, UpstreamLimiter] = {}
 
     @property
     def waiting(self) -> int:
         """How many requests wait at all gates."""
-        return sum(len(gate.waiting) for gate in self.gates.values())
+        return sum(len(limiter.waiting) for limiter in self.limiters.values())
 
-    def gate(self, name: str, slots: int) -> UpstreamGate:
+    def limiter(self, name: str, slots: int) -> UpstreamLimiter:
         """Return an upstream's gate."""
-        gate = self.gates.get(name)
-        if gate is None:
-            gate = self.gates[name] = UpstreamGate(name, slots, self._policy)
-        gate.slots = max(1, slots)
-        return gate
+        limiter = self.limiters.get(name)
+        if limiter is None:
+            limiter = self.limiters[name] = UpstreamLimiter(name, slots, self._policy)
+        limiter.slots = max(1, slots)
+        return limiter
 
     def full(self) -> bool:
         """Return whether no further request may wait."""
         return self.waiting >= self._policy.queue
 
-    def retry_after(self, gate: UpstreamGate) -> Millis:
+    def retry_after(self, limiter: UpstreamLimiter) -> Millis:
         """Return when the requests that wait at a gate are likely to be through."""
-        return max(MIN_RETRY_AFTER, len(gate.waiting) * gate.gap)
+        return max(MIN_RETRY_AFTER, len(limiter.waiting) * limiter.gap)
--- a/src/alderhatch/core/arrival.py
+++ b/src/alderhatch/core/arrival.py
@@ -6,9 +6,9 @@
 
 from ..clock import Millis
 from ..errors import ErrorKind
-from .admission import Admission, UpstreamGate
+from .admission import Admission, UpstreamLimiter
 from .core_state import CoreState
-from .crash_watch import fingerprint_of
+from .crash_detector import fingerprint_of
 from .query_run import QueryRun
 from .rate_limiter import RateLimiter
 from .request import Request
@@ -24,7 +24,7 @@
 """Callers are told to come back at times that differ by up to this share."""
 
 
-class Arrival:
+class ArrivalHandler:
     """Decides for each request whether it starts, waits or is refused.
 
     Every refusal given here is true to its word "not run": nothing of the request has been sent.
@@ -48,7 +48,7 @@
         """Whether no new request may be taken."""
         return self.serve_until is not None and self._state.now >= self.serve_until
 
-    def arrive(self, query: int, request: Request) -> None:
+    def handle(self, query: int, request: Request) -> None:
         """Take a caller's request."""
         core = self._state
         if self.stopping:
@@ -68,7 +68,7 @@
     def _check(self, query: int, request: Request, rule: Rule, serve: Serve) -> None:
         core = self._state
         fingerprint = fingerprint_of(request)
-        held = core.crashes.refused_for(fingerprint, core.now)
+        held = core.crashes.block_time_left(fingerprint, core.now)
         if held is not None:
             message = "requests with this body crashed the servers that ran them"
             core.refuse(query, rule, ErrorKind.QUARANTINED, message, held)
@@ -99,31 +99,32 @@
             core.refuse(run.query, run.rule, ErrorKind.DEADLINE_TOO_SHORT, message)
             return
         slots = sum(server.server.slots for server in upstream.servers.values())
-        gate = self.admission.gate(upstream.name, slots)
-        if gate.fits(run) and not self._others_first(gate, run):
-            self._enter(gate, run)
+        limiter = self.admission.limiter(upstream.name, slots)
+        if limiter.has_capacity_for(run) and not self._others_first(limiter, run):
+            self._enter(limiter, run)
             return
-        wait = gate.expected_wait(run.rank)
+        wait = limiter.expected_wait(run.rank)
         latest = self._latest_start(run)
         if core.now + wait > latest or wait > core.policy.max_wait_share * run.span:
-            self._refuse(run, gate, f"a wait of {wait:.0f} ms is too long")
+            self._refuse(run, limiter, f"a wait of {wait:.0f} ms is too long")
             return
         if self.admission.full():
-            other = gate.evict_below(run.rank)
+            other = limiter.evict_lower_priority(run.rank)
             if other is None:
-                self._refuse(run, gate, "the queue is full")
+                self._refuse(run, limiter, "the queue is full")
                 return
-            self._refuse(other, gate, "the queue is full of more urgent requests")
+            self._refuse(other, limiter, "the queue is full of more urgent requests")
         core.runs[run.query] = run
-        gate.put(run)
+        limiter.enqueue(run)
         core.timers.add(latest, TimerKind.QUEUE, run)
 
-    def _others_first(self, gate: UpstreamGate, run: Run) -> bool:
+    def _others_first(self, limiter: UpstreamLimiter, run: Run) -> bool:
         """Return whether a request that waits comes before a new one."""
-        if not gate.waiting or gate.waiting[0].rank > run.rank:
+        if not limiter.waiting or limiter.waiting[0].rank > run.rank:
             return False
         return any(
-            waiting.rank <= run.rank and gate.fits(waiting.run) for waiting in gate.waiting[:8]
+            waiting.rank <= run.rank and limiter.has_capacity_for(waiting.run)
+            for waiting in limiter.waiting[:8]
         )
 
     def _latest_start(self, run: Run) -> Millis:
@@ -136,32 +137,32 @@
             needed = max(needed, run.upstream.queries.quantile(policy.start_quantile))
         return run.deadline - min(needed, MAX_START_SHARE * run.span) - policy.path_cost_ms
 
-    def _enter(self, gate: UpstreamGate, run: Run) -> None:
+    def _enter(self, limiter: UpstreamLimiter, run: Run) -> None:
         core = self._state
         core.runs[run.query] = run
         units = len(run.shards) if isinstance(run, QueryRun) else 1
-        gate.enter(run, units, core.now)
+        limiter.admit(run, units, core.now)
         self._start(run)
 
-    def _refuse(self, run: Run, gate: UpstreamGate, message: str) -> None:
+    def _refuse(self, run: Run, limiter: UpstreamLimiter, message: str) -> None:
         core = self._state
         run.ended = True
         core.runs.pop(run.query, None)
         # Callers that were refused together and told the same time would come back together.
         spread = 1.0 + SPREAD * core.rng.random()
-        retry_after = self.admission.retry_after(gate) * spread
+        retry_after = self.admission.retry_after(limiter) * spread
         core.refuse(run.query, run.rule, ErrorKind.OVERLOADED, message, retry_after)
 
     def admit_waiting(self) -> None:
         """Start the requests that wait, as far as their gates allow."""
-        for gate in self.admission.gates.values():
-            while gate.waiting:
-                run = gate.next()
+        for limiter in self.admission.limiters.values():
+            while limiter.waiting:
+                run = limiter.dequeue()
                 if run is None:
                     break
-                self._enter_late(gate, run)
+                self._enter_late(limiter, run)
 
-    def _enter_late(self, gate: UpstreamGate, run: Run) -> None:
+    def _enter_late(self, limiter: UpstreamLimiter, run: Run) -> None:
         core = self._state
         if self.lease_is_over:
             run.ended = True
@@ -170,23 +171,23 @@
             core.refuse(run.query, run.rule, ErrorKind.LEASE_EXPIRED, message)
             return
         if core.now > self._latest_start(run):
-            self._refuse(run, gate, "the deadline can no longer be met")
+            self._refuse(run, limiter, "the deadline can no longer be met")
             return
         if isinstance(run, QueryRun) and run.upstream.shard_map is not None:
             # A newer map may have come while it waited; the snapshot is pinned when it starts.
             run.pin(run.upstream.shard_map)
-        self._enter(gate, run)
+        self._enter(limiter, run)
 
-    def too_late(self, run: Run) -> None:
+    def expire(self, run: Run) -> None:
         """Refuse a request that still waits when its deadline can no longer be met."""
-        gate = self.admission.gates.get(run.upstream.name)
-        if run.gate is None and gate is not None and gate.remove(run):
-            self._refuse(run, gate, "the wait outlasted the deadline")
+        limiter = self.admission.limiters.get(run.upstream.name)
+        if run.limiter is None and limiter is not None and limiter.remove(run):
+            self._refuse(run, limiter, "the wait outlasted the deadline")
 
-    def withdraw(self, run: Run) -> bool:
+    def cancel_waiting(self, run: Run) -> bool:
         """Take a request out whose caller left; return False if it does not wait."""
-        gate = self.admission.gates.get(run.upstream.name)
-        if run.gate is not None or gate is None or not gate.remove(run):
+        limiter = self.admission.limiters.get(run.upstream.name)
+        if run.limiter is not None or limiter is None or not limiter.remove(run):
             return False
         run.ended = True
         self._state.runs.pop(run.query, None)
--- a/src/alderhatch/core/at_most_once.py
+++ b/src/alderhatch/core/at_most_once.py
@@ -9,7 +9,7 @@
 
 from ..errors import ErrorKind, Failure, Ran
 from .core_state import CoreState
-from .dispatcher import Dispatcher, Sent
+from .dispatcher import Dispatcher, SendOutcome
 from .entry_events import (
     NOT_RUN_FAULTS,
     Answered,
@@ -127,12 +127,12 @@
             return
         sent = self._dispatcher.send(run, run.shard, run.shard_map.snapshot)
         match sent:
-            case Sent.SENT:
+            case SendOutcome.SENT:
                 run.stage = Stage.SENT
                 core.shard_requests_needed += not run.maybe_ran
-            case Sent.WAITS:
+            case SendOutcome.WAITS:
                 run.stage = Stage.WAITING
-            case Sent.NO_SERVER:
+            case SendOutcome.NO_SERVER:
                 why = f"no server of shard {run.shard.plan.shard.name} took it"
                 self._give_up(run, ErrorKind.UPSTREAM_REFUSED, why)
 
@@ -145,7 +145,7 @@
         """Take the attempt's answer."""
         core = self._state
         name = state.plan.shard.name
-        core.crashes.answered(run.fingerprint)
+        core.crashes.record_answer(run.fingerprint)
         documents = run.shard_map.documents
         missing = tuple(
             MissingShard(shard.name, NOT_ADDRESSED)
@@ -168,7 +168,7 @@
         """Take an attempt that came to nothing."""
         core = self._state
         if fault is AttemptFault.LOST:
-            core.crashes.lost(run.fingerprint, run.upstream.name, server_id, core.now)
+            core.crashes.record_loss(run.fingerprint, run.upstream.name, server_id, core.now)
         state.reason = fault
         if fault in NOT_RUN_FAULTS:
             self._not_run(run, fault)
@@ -228,8 +228,8 @@
     def _end(self, run: SingleRun) -> None:
         run.ended = True
         self._state.runs.pop(run.query, None)
-        if run.gate is not None:
-            run.gate.leave(run, run.units)
+        if run.limiter is not None:
+            run.limiter.release_shards(run, run.units)
 
     def wake(self, run: SingleRun, kind: TimerKind) -> None:
         """Look at a request whose timer has come up."""
--- a/src/alderhatch/core/attempt.py
+++ b/src/alderhatch/core/attempt.py
@@ -14,7 +14,7 @@
 class Attempt:
     """One shard request that is out."""
 
-    __slots__ = ("alone", "hedge", "number", "run", "sent_at", "server", "state")
+    __slots__ = ("crash_suspect", "hedge", "number", "run", "sent_at", "server", "state")
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         server: ServerView,
         sent_at: Millis,
         hedge: bool,
-        alone: bool,
+        crash_suspect: bool,
     ) -> None:
         self.number = number
         self.run = run
@@ -33,5 +33,5 @@
         self.sent_at = sent_at
         self.hedge = hedge
         """Whether it is a second copy beside another attempt."""
-        self.alone = alone
+        self.crash_suspect = crash_suspect
         """Whether its body may have crashed another server."""
--- a/src/alderhatch/core/core_state.py
+++ b/src/alderhatch/core/core_state.py
@@ -6,7 +6,7 @@
 
 from ..clock import Millis
 from ..errors import ErrorKind, Failure
-from .crash_watch import CrashWatch
+from .crash_detector import CrashDetector
 from .entry_events import EntryEffect, Finish, Refused
 from .policy import Policy
 from .ratio_budget import RatioBudget
@@ -33,7 +33,7 @@
         self.now: Millis = 0.0
         self.effects: list[EntryEffect] = []
         self.servers = ServerTable(policy)
-        self.crashes = CrashWatch(policy.quarantine_ms)
+        self.crashes = CrashDetector(policy.quarantine_ms)
         self.rules = RuleList()
         self.revision = 0
         self.runs: dict[int, Run] = {}
--- a/src/alderhatch/core/crash_watch.py
+++ b/src/alderhatch/core/crash_detector.py
@@ -22,7 +22,7 @@
 on in between. A busy entry may ask for the server's health seconds later."""
 HOLD: Millis = 5 * SECOND
 """How long a body is refused after two losses while it is not known whether they were crashes."""
-MAX_BODIES = 4096
+MAX_FINGERPRINTS = 4096
 MANY_SERVERS = 3
 MANY_WITHIN: Millis = 250.0
 
@@ -64,7 +64,7 @@
     return xxh3_128_hexdigest(b"\0".join(parts))
 
 
-class CrashWatch:
+class CrashDetector:
     """Counts losses by body and server, and says which bodies are refused.
 
     A body that any server answered is never blamed: it was only on the same server as the one at
@@ -82,7 +82,7 @@
         self._crashed: OrderedDict[str, set[str]] = OrderedDict()
         self._holds: OrderedDict[str, _Hold] = OrderedDict()
         self._lost_servers: dict[str, Millis] = {}
-        self.tier_wide: frozenset[str] = frozenset()
+        self.quarantined_tier_wide: frozenset[str] = frozenset()
         """What control has quarantined."""
 
     def is_confirmed(self, fingerprint: str) -> bool:
@@ -94,9 +94,9 @@
         hold = self._holds.get(fingerprint)
         return hold is not None and hold.confirmed and now < hold.until
 
-    def refused_for(self, fingerprint: str, now: Millis) -> Millis | None:
+    def block_time_left(self, fingerprint: str, now: Millis) -> Millis | None:
         """Return how long a body is refused, or None if it is not."""
-        if fingerprint in self.tier_wide:
+        if fingerprint in self.quarantined_tier_wide:
             return self._quarantine
         hold = self._holds.get(fingerprint)
         if hold is None or now >= hold.until:
@@ -105,11 +105,11 @@
             return None
         return hold.until - now
 
-    def is_safe(self, fingerprint: str) -> bool:
+    def was_answered(self, fingerprint: str) -> bool:
         """Return whether some server has answered this body."""
         return fingerprint in self._safe
 
-    def losses(self, fingerprint: str, now: Millis) -> int:
+    def recent_losses(self, fingerprint: str, now: Millis) -> int:
         """Return on how many servers a body that no server has answered was lost lately."""
         servers = self._lost_on.get(fingerprint)
         if not servers:
@@ -118,26 +118,28 @@
             1 for at in servers.values() if now - at < CONFIRM_WITHIN and not self._many_lost(at)
         )
 
-    def answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Note that a server answered this body."""
         if fingerprint in self._safe:
             return
         _put(self._safe, fingerprint, None)
         self._lost_on.pop(fingerprint, None)
 
-    def lost(self, fingerprint: str, upstream: str, server_id: str, now: Millis) -> int:
+    def record_loss(self, fingerprint: str, upstream: str, server_id: str, now: Millis) -> int:
         """Note a connection lost while a body ran.
 
         Returns:
             On how many servers the body was lost, as far as it is a suspect; 0 if it is none.
         """
         self._lost_servers[server_id] = now
-        if len(self._lost_servers) > MAX_BODIES:
+        if len(self._lost_servers) > MAX_FINGERPRINTS:
             self._lost_servers.pop(next(iter(self._lost_servers)))
         if fingerprint in self._safe:
             return 0
         losses = self._losses.setdefault(server_id, [])
-        losses[:] = [loss for loss in losses if now - loss.at < RESTARTED_WITHIN][-MAX_BODIES:]
+        losses[:] = [loss for loss in losses if now - loss.at < RESTARTED_WITHIN][
+            -MAX_FINGERPRINTS:
+        ]
         losses.append(_Loss(fingerprint, upstream, now))
         servers = self._lost_on.get(fingerprint, {})
         servers = {s: at for s, at in servers.items() if now - at < CONFIRM_WITHIN}
@@ -155,7 +157,7 @@
         near = [at for at in self._lost_servers.values() if abs(at - around) < MANY_WITHIN]
         return len(near) >= MANY_SERVERS
 
-    def runs_on(self, server_id: str, asked_at: Millis) -> None:
+    def record_alive(self, server_id: str, asked_at: Millis) -> None:
         """Note that a server, asked after it lost connections, is the same process as before.
 
         A network that drops connections, or a server that closes them, looks like a crash to the
@@ -180,7 +182,7 @@
             if hold is not None and not hold.confirmed and len(servers) < CRASH_LIMIT:
                 del self._holds[loss.fingerprint]
 
-    def confirm(self, server_id: str, now: Millis, restarted: bool = False) -> list[Crash]:
+    def confirm_crashes(self, server_id: str, now: Millis, restarted: bool = False) -> list[Crash]:
         """Note that a server was started anew or takes no connection.
 
         Args:
@@ -207,13 +209,13 @@
                 _put(self._holds, loss.fingerprint, hold)
         return crashes
 
-    def refused(self, now: Millis) -> Iterable[str]:
+    def blocked_fingerprints(self, now: Millis) -> Iterable[str]:
         """Return the bodies that this entry refuses on its own account."""
-        return [name for name in self._holds if self.refused_for(name, now) is not None]
+        return [name for name in self._holds if self.block_time_left(name, now) is not None]
 
 
 def _put(table: OrderedDict[str, T], key: str, value: T) -> None:
     table[key] = value
     table.move_to_end(key)
-    if len(table) > MAX_BODIES:
+    if len(table) > MAX_FINGERPRINTS:
         table.popitem(last=False)
--- a/src/alderhatch/core/dispatcher.py
+++ b/src/alderhatch/core/dispatcher.py
@@ -9,7 +9,7 @@
 from ..clock import Millis
 from .attempt import Attempt
 from .core_state import CoreState
-from .crash_watch import CRASH_LIMIT
+from .crash_detector import CRASH_LIMIT
 from .entry_events import AttemptFault, CancelAttempt, LoadReport, ProbeServer, SendShard
 from .latency_histogram import LOWEST
 from .pacer import Pacer
@@ -25,7 +25,7 @@
 """A copy goes to a server that was asked already if it has less than this load for each slot."""
 
 
-class Sent(Enum):
+class SendOutcome(Enum):
     """What became of a shard request that was to be sent."""
 
     SENT = "sent"
@@ -52,11 +52,13 @@
         """When the timer for waiting shard requests comes up."""
 
     @property
-    def parked(self) -> int:
+    def waiting_count(self) -> int:
         """Shard requests that wait for a server, ended ones included."""
         return sum(len(heap) for heap in self._parked.values())
 
-    def send(self, run: Run, shard: ShardState, snapshot: Snapshot, again: bool = False) -> Sent:
+    def send(
+        self, run: Run, shard: ShardState, snapshot: Snapshot, again: bool = False
+    ) -> SendOutcome:
         """Send a shard request to the best server, or let it wait for one.
 
         Args:
@@ -67,16 +69,16 @@
         """
         core = self._state
         excluded = NOTHING if again else shard.tried
-        alone = core.crashes.losses(run.fingerprint, core.now) > 0
+        crash_suspect = core.crashes.recent_losses(run.fingerprint, core.now) > 0
         server: ServerView | None = None
         if self.pacer.has_room(run, shard):
-            server = self._choose(run, shard, excluded, alone)
+            server = self._choose(run, shard, excluded, crash_suspect)
         if server is not None:
-            self._emit(run, shard, server, snapshot, False, alone)
-            return Sent.SENT
+            self._emit(run, shard, server, snapshot, False, crash_suspect)
+            return SendOutcome.SENT
         wake = self._wake_time(run, shard, excluded, core.now)
         if wake is None or wake >= run.deadline:
-            return Sent.NO_SERVER
+            return SendOutcome.NO_SERVER
         shard.waiting = True
         self._park_number += 1
         key = (run.upstream.name, shard.plan.shard.name)
@@ -90,7 +92,7 @@
         if wake > core.now and (self._wake_at is None or wake < self._wake_at):
             self._wake_at = wake
             core.timers.add(wake, TimerKind.WAITING, None)
-        return Sent.WAITS
+        return SendOutcome.WAITS
 
     def hedge(self, run: Run, shard: ShardState, snapshot: Snapshot) -> bool:
         """Send a second copy of a shard request if a server is free for it."""
@@ -117,12 +119,12 @@
         return server.estimate(core.now) + (core.policy.zone_cost_ms if away else 0.0)
 
     def _choose(
-        self, run: Run, shard: ShardState, excluded: set[str] | frozenset[str], alone: bool
+        self, run: Run, shard: ShardState, excluded: set[str] | frozenset[str], crash_suspect: bool
     ) -> ServerView | None:
         core = self._state
         cost = 0.0 if run.any_zone else core.policy.zone_cost_ms
         return choose_replica(
-            shard.plan.replicas, excluded, core.zone, cost, core.now, core.rng, alone
+            shard.plan.replicas, excluded, core.zone, cost, core.now, core.rng, crash_suspect
         )
 
     def _wake_time(
@@ -148,12 +150,12 @@
         server: ServerView,
         snapshot: Snapshot,
         hedge: bool,
-        alone: bool,
+        crash_suspect: bool,
     ) -> None:
         core = self._state
         self._next += 1
         number = self._next
-        attempt = Attempt(number, run, shard, server, core.now, hedge, alone)
+        attempt = Attempt(number, run, shard, server, core.now, hedge, crash_suspect)
         shard.waiting = False
         shard.attempts[number] = attempt
         shard.tried.add(server.server_id)
@@ -161,7 +163,7 @@
         server.in_flight += 1
         if run.rank:
             self.pacer.sent(run, shard, server)
-        if alone:
+        if crash_suspect:
             server.suspects += 1
         core.shard_requests_sent += 1
         if core.policy.take_back_hedges:
@@ -200,9 +202,9 @@
             latency = LOWEST
         attempt.server.saw_answer(latency, load, core.now)
         attempt.run.upstream.latencies.record(latency)
-        if attempt.run.gate is not None:
+        if attempt.run.limiter is not None:
             slots = attempt.server.slots
-            attempt.run.gate.observe(latency, load, slots, core.now)
+            attempt.run.limiter.observe(latency, load, slots, core.now)
         return attempt
 
     def failed(
@@ -257,7 +259,7 @@
             attempt.server.low_in_flight -= 1
         if self._parked:
             self._freed.append(attempt.server)
-        if attempt.alone:
+        if attempt.crash_suspect:
             attempt.server.suspects -= 1
         return attempt
 
@@ -281,9 +283,9 @@
         core = self._state
         if not run.canary and len(run.shards) > 1:
             return True
-        if core.crashes.is_safe(run.fingerprint):
+        if core.crashes.was_answered(run.fingerprint):
             return True
-        lost = core.crashes.losses(run.fingerprint, core.now)
+        lost = core.crashes.recent_losses(run.fingerprint, core.now)
         return lost + run.attempts_out < CRASH_LIMIT
 
     def take_ready(self) -> list[tuple[Run, ShardState]]:
@@ -302,7 +304,7 @@
         self._freed.clear()
         return ready
 
-    def wake_paced(self) -> None:
+    def release_paced(self) -> None:
         """Look again at the servers that were held back from lower classes until now."""
         self._freed += self.pacer.due()
 
@@ -324,7 +326,7 @@
             del self._parked[key]
         return taken
 
-    def take_parked(self) -> list[tuple[Run, ShardState]]:
+    def take_all_waiting(self) -> list[tuple[Run, ShardState]]:
         """Take out all waiting shard requests, the most urgent first."""
         entries = sorted(entry for heap in self._parked.values() for entry in heap)
         self._parked.clear()
--- a/src/alderhatch/core/entry_core.py
+++ b/src/alderhatch/core/entry_core.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..clock import Millis
-from .arrival import Arrival
+from .arrival import ArrivalHandler
 from .at_most_once import AtMostOnce
 from .core_state import CoreState
 from .dispatcher import Dispatcher
@@ -64,7 +64,7 @@
         self._dispatcher = Dispatcher(self._state)
         self._fan_out = FanOut(self._state, self._dispatcher)
         self._at_most_once = AtMostOnce(self._state, self._dispatcher)
-        self._arrival = Arrival(self._state, self._start)
+        self._arrival = ArrivalHandler(self._state, self._start)
 
     @property
     def running(self) -> int:
@@ -119,7 +119,7 @@
             case AttemptFailed(attempt=attempt, fault=fault, retry_after_ms=retry_after):
                 self._failed(attempt, fault, retry_after)
             case QueryArrived(query=query, request=request):
-                self._arrival.arrive(query, request)
+                self._arrival.handle(query, request)
             case Woke():
                 self._wake()
             case CallerGone(query=query):
@@ -134,7 +134,7 @@
                 self._health(event)
             case ServersLeaving(source=source, server_ids=server_ids):
                 state.servers.set_leaving(source, server_ids)
-                self._resume(self._dispatcher.take_parked())
+                self._resume(self._dispatcher.take_all_waiting())
             case LeaseChanged():
                 self._lease(event)
             case BudgetsChanged(hedge=hedge, retry=retry):
@@ -190,7 +190,7 @@
 
     def _confirm_crash(self, server_id: str, restarted: bool = False) -> None:
         state = self._state
-        for crash in state.crashes.confirm(server_id, state.now, restarted):
+        for crash in state.crashes.confirm_crashes(server_id, state.now, restarted):
             report = ReportCrash(crash.fingerprint, crash.server_id, crash.upstream)
             state.effects.append(report)
 
@@ -201,13 +201,13 @@
         if restarted or event.state is ServerState.UNREACHABLE:
             self._confirm_crash(event.server_id, restarted)
         elif known is not None and event.boot_id == known and event.asked_at is not None:
-            state.crashes.runs_on(event.server_id, event.asked_at)
+            state.crashes.record_alive(event.server_id, event.asked_at)
 
     def _lease(self, event: LeaseChanged) -> None:
         self._arrival.serve_until = event.serve_until
-        self._state.crashes.tier_wide = event.quarantined
+        self._state.crashes.quarantined_tier_wide = event.quarantined
         self._state.servers.set_shares(event.shares)
-        self._resume(self._dispatcher.take_parked())
+        self._resume(self._dispatcher.take_all_waiting())
 
     def _adopt(self, shard_map: ShardMap) -> None:
         known = self._state.servers.snapshot_of(shard_map.upstream)
@@ -228,7 +228,7 @@
 
     def _caller_gone(self, query: int) -> None:
         run = self._state.runs.get(query)
-        if run is None or self._arrival.withdraw(run):
+        if run is None or self._arrival.cancel_waiting(run):
             return
         if isinstance(run, QueryRun):
             self._fan_out.drop(run)
@@ -253,11 +253,11 @@
         while (timer := timers.due(self._state.now)) is not None:
             run = None if timer.query is None else self._state.runs.get(timer.query)
             if timer.kind is TimerKind.PACED:
-                self._dispatcher.wake_paced()
+                self._dispatcher.release_paced()
             elif timer.kind is TimerKind.WAITING or run is None:
-                self._resume(self._dispatcher.take_parked())
+                self._resume(self._dispatcher.take_all_waiting())
             elif timer.kind is TimerKind.QUEUE:
-                self._arrival.too_late(run)
+                self._arrival.expire(run)
             elif isinstance(run, QueryRun):
                 self._fan_out.wake(run, timer.kind)
             elif isinstance(run, SingleRun):
--- a/src/alderhatch/core/fan_out.py
+++ b/src/alderhatch/core/fan_out.py
@@ -5,8 +5,8 @@
 from ..clock import Millis
 from ..errors import ErrorKind
 from .core_state import CoreState
-from .crash_watch import CRASH_LIMIT
-from .dispatcher import Dispatcher, Sent
+from .crash_detector import CRASH_LIMIT
+from .dispatcher import Dispatcher, SendOutcome
 from .entry_events import NOT_RUN_FAULTS, AttemptFault, FetchShardMap, Finish, ShardAnswer
 from .hedging import ENOUGH_SAMPLES, GUESS_FACTOR, Hedging
 from .query_run import QueryRun
@@ -55,7 +55,9 @@
         # A body that crashes each server which runs it would take a replica of every shard with it
         # at once. It is seen as many connections lost in the same moment. So a body that no server
         # is known to have survived goes to a few shards first.
-        run.canary = 0 < canaries < len(run.shards) and not core.crashes.is_safe(run.fingerprint)
+        run.canary = 0 < canaries < len(run.shards) and not core.crashes.was_answered(
+            run.fingerprint
+        )
         if not run.canary:
             self._send_all(run)
             return
@@ -99,9 +101,9 @@
         dispatcher = self._dispatcher
         snapshot = run.shard_map.snapshot
         sent = dispatcher.send(run, state, snapshot)
-        if sent is Sent.NO_SERVER and state.failures and state.reason not in FINAL_FAULTS:
+        if sent is SendOutcome.NO_SERVER and state.failures and state.reason not in FINAL_FAULTS:
             sent = dispatcher.send(run, state, snapshot, again=True)
-        if sent is Sent.NO_SERVER:
+        if sent is SendOutcome.NO_SERVER:
             if not state.tried:
                 state.reason = self._why_no_server(state)
             self._close(run, state)
@@ -125,11 +127,11 @@
             core.wasted += 1
             return
         run.maybe_ran = True
-        core.crashes.answered(run.fingerprint)
+        core.crashes.record_answer(run.fingerprint)
         for other in list(state.attempts.values()):
             self._dispatcher.cancel(other)
-        if was_open and run.gate is not None:
-            run.gate.leave(run, 1)
+        if was_open and run.limiter is not None:
+            run.limiter.release_shards(run, 1)
         if run.canary:
             self.release(run)
             if run.ended:
@@ -144,7 +146,7 @@
         if fault in RAN_FAULTS:
             run.any_failed = True
         if fault is AttemptFault.LOST and server_id:
-            core.crashes.lost(run.fingerprint, run.upstream.name, server_id, core.now)
+            core.crashes.record_loss(run.fingerprint, run.upstream.name, server_id, core.now)
         if state.closed:
             return
         state.reason = fault
@@ -229,15 +231,15 @@
         if core.now + needed + core.policy.path_cost_ms >= run.deadline:
             return False
         self._cancel_all(run)
-        gate = run.gate
-        if gate is not None:
-            gate.leave(run, run.units)
+        limiter = run.limiter
+        if limiter is not None:
+            limiter.release_shards(run, run.units)
         run.pin(newest)
         run.replans += 1
         run.waits_for_map = False
         run.early_finish = None
-        if gate is not None:
-            gate.enter(run, run.open, core.now)
+        if limiter is not None:
+            limiter.admit(run, run.open, core.now)
         core.shard_requests_needed += len(run.shards)
         self._send_all(run)
         return True
@@ -247,8 +249,8 @@
             return
         run.close(state)
         state.waiting = False
-        if run.gate is not None:
-            run.gate.leave(run, 1)
+        if run.limiter is not None:
+            run.limiter.release_shards(run, 1)
 
     def _settle(self, run: QueryRun) -> None:
         if run.ended:
@@ -308,7 +310,7 @@
             return
         # After one loss the body is a suspect; patience with the other canary has no end then.
         core = self._state
-        if run.attempts_out and core.crashes.losses(run.fingerprint, core.now):
+        if run.attempts_out and core.crashes.recent_losses(run.fingerprint, core.now):
             return
         confirmed = core.crashes.is_confirmed(run.fingerprint)
         if self._crashes(run) and not confirmed and core.now < run.verdict_by:
@@ -336,8 +338,8 @@
         run.ended = True
         self._state.runs.pop(run.query, None)
         self._cancel_all(run)
-        if run.gate is not None:
-            run.gate.leave(run, run.units)
+        if run.limiter is not None:
+            run.limiter.release_shards(run, run.units)
 
     def _cancel_all(self, run: QueryRun) -> None:
         for state in run.shards:
@@ -368,7 +370,7 @@
         elif run.covered_documents == 0 and (run.any_failed or self._crashes(run)):
             # After crashes it comes back no sooner than this entry would take it. By then every
             # entry has the quarantine, or no lease; one that had not would lose servers to it.
-            held = core.crashes.refused_for(run.fingerprint, core.now)
+            held = core.crashes.block_time_left(run.fingerprint, core.now)
             core.refuse(run.query, run.rule, ErrorKind.UPSTREAM_FAILED, why, held)
             return
         else:
@@ -377,4 +379,4 @@
 
     def _crashes(self, run: QueryRun) -> bool:
         core = self._state
-        return core.crashes.losses(run.fingerprint, core.now) >= CRASH_LIMIT
+        return core.crashes.recent_losses(run.fingerprint, core.now) >= CRASH_LIMIT
--- a/src/alderhatch/core/forwarding/crash_tally.py
+++ b/src/alderhatch/core/forwarding/crash_tally.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...clock import SECOND, Millis
-from ..crash_watch import CRASH_LIMIT, MAX_BODIES
+from ..crash_detector import CRASH_LIMIT, MAX_FINGERPRINTS
 
 QUARANTINE: Millis = 600 * SECOND
 """How long such a request is refused everywhere; its caller may have stopped sending it by then."""
@@ -28,7 +28,7 @@
         servers = {name: at for name, at in servers.items() if now - at < FORGET_AFTER}
         servers[server_id] = now
         self._servers[fingerprint] = servers
-        if len(self._servers) > MAX_BODIES:
+        if len(self._servers) > MAX_FINGERPRINTS:
             del self._servers[next(iter(self._servers))]
         if len(servers) < CRASH_LIMIT or self._until.get(fingerprint, 0.0) > now:
             return False
--- a/src/alderhatch/core/hedging.py
+++ b/src/alderhatch/core/hedging.py
@@ -42,7 +42,7 @@
     def _delay(self, run: QueryRun) -> Millis:
         core = self._state
         policy = core.policy
-        if run.rank == 0 and run.gate is not None and run.gate.pressed:
+        if run.rank == 0 and run.limiter is not None and run.limiter.overloaded:
             # What waits in the servers' queues raises the latency of all. By its high quantiles a
             # copy of an urgent query's straggler would come when the query is late already.
             return run.upstream.latencies.quantile(policy.hedge_urgent_quantile)
--- a/src/alderhatch/core/pacer.py
+++ b/src/alderhatch/core/pacer.py
@@ -38,8 +38,8 @@
             shard: The shard.
             taken: Further shard requests that are about to be sent there.
         """
-        gate = run.gate
-        if run.rank == 0 or gate is None or not gate.pressed:
+        limiter = run.limiter
+        if run.rank == 0 or limiter is None or not limiter.overloaded:
             return True
         now = self._state.now
         out = slots = 0
@@ -48,18 +48,18 @@
                 return False
             out += server.low_in_flight
             slots += server.slots
-        return out + taken < slots * gate.window
+        return out + taken < slots * limiter.window
 
     def sent(self, run: Run, shard: ShardState, server: ServerView) -> None:
         """Count a shard request that is not urgent, and set the pause after it."""
         server.low_in_flight += 1
-        gate = run.gate
-        if gate is None or not gate.pressed:
+        limiter = run.limiter
+        if limiter is None or not limiter.overloaded:
             return
         # Without the pause, one request of each of many entries would still be a long queue.
-        window = gate.window * sum(other.slots for other in shard.plan.replicas)
+        window = limiter.window * sum(other.slots for other in shard.plan.replicas)
         if window < 1.0:
-            at = self._state.now + min(MAX_PAUSE, gate.latency / window)
+            at = self._state.now + min(MAX_PAUSE, limiter.latency / window)
             for other in shard.plan.replicas:
                 other.next_low_at = at
 
--- a/src/alderhatch/core/run.py
+++ b/src/alderhatch/core/run.py
@@ -12,7 +12,7 @@
 from .shard_map import ShardMap
 
 if TYPE_CHECKING:
-    from .admission import UpstreamGate
+    from .admission import UpstreamLimiter
     from .attempt import Attempt
 
 
@@ -48,7 +48,7 @@
         self.rank = self.priority.rank
         self.any_zone = serve.zone is ZonePreference.ANY_ZONE
         self.ended = False
-        self.gate: UpstreamGate | None = None
+        self.limiter: UpstreamLimiter | None = None
         """Where it was admitted; None while it waits."""
         self.units = 0
         """What it holds of the gate: its shards that are still open."""
--- a/src/alderhatch/core/state_dump.py
+++ b/src/alderhatch/core/state_dump.py
@@ -11,14 +11,14 @@
 from .server_view import ServerView
 
 if TYPE_CHECKING:
-    from .arrival import Arrival
+    from .arrival import ArrivalHandler
 
 MAX_ITEMS = 500
 """The most servers, requests or bodies that one dump lists of each."""
 
 
 def dump_state(
-    state: CoreState, arrival: Arrival, dispatcher: Dispatcher, now: Millis
+    state: CoreState, arrival: ArrivalHandler, dispatcher: Dispatcher, now: Millis
 ) -> dict[str, Any]:
     """Return what the core knows as maps, lists, numbers and strings."""
     lease = arrival.serve_until
@@ -30,7 +30,7 @@
         "running": len(state.runs),
         "timers": state.timers.size,
         "attempts_out": len(dispatcher.attempts),
-        "waiting_for_server": dispatcher.parked,
+        "waiting_for_server": dispatcher.waiting_count,
         "shard_requests_sent": state.shard_requests_sent,
         "shard_requests_needed": state.shard_requests_needed,
         "wasted": state.wasted,
@@ -47,17 +47,17 @@
                 "rule": run.rule.name,
                 "upstream": run.upstream.name,
                 "age_ms": round(now - run.started_at, 1),
-                "admitted": run.gate is not None,
+                "admitted": run.limiter is not None,
                 "open_shards": run.units,
             }
             for run in list(state.runs.values())[:MAX_ITEMS]
         ],
-        "refused_bodies": list(state.crashes.refused(now))[:MAX_ITEMS],
+        "refused_bodies": list(state.crashes.blocked_fingerprints(now))[:MAX_ITEMS],
     }
 
 
-def _upstream(view: UpstreamView, arrival: Arrival, now: Millis) -> dict[str, Any]:
-    gate = arrival.admission.gates.get(view.name)
+def _upstream(view: UpstreamView, arrival: ArrivalHandler, now: Millis) -> dict[str, Any]:
+    limiter = arrival.admission.limiters.get(view.name)
     snapshot = view.shard_map.snapshot if view.shard_map is not None else None
     servers = list(view.servers.values())[:MAX_ITEMS]
     return {
@@ -67,11 +67,11 @@
             "p95": round(view.latencies.quantile(0.95), 2),
         },
         "retry_tokens": round(view.retries.tokens, 1),
-        "limit": None if gate is None else round(gate.limit, 1),
-        "open_shards": 0 if gate is None else gate.open,
-        "waiting": 0 if gate is None else len(gate.waiting),
-        "server_queue": 0.0 if gate is None else round(gate.queue, 3),
-        "holds_lower_classes_back": gate is not None and gate.pressed,
+        "limit": None if limiter is None else round(limiter.limit, 1),
+        "open_shards": 0 if limiter is None else limiter.open,
+        "waiting": 0 if limiter is None else len(limiter.waiting),
+        "server_queue": 0.0 if limiter is None else round(limiter.queue, 3),
+        "holds_lower_classes_back": limiter is not None and limiter.overloaded,
         "servers": {server.server_id: _server(server, now) for server in servers},
     }
 
--- a/src/alderhatch/node/dialect.py
+++ b/src/alderhatch/node/dialect.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from ..clock import Millis
-from ..core.crash_watch import fingerprint_of_parts
+from ..core.crash_detector import fingerprint_of_parts
 from ..core.entry_events import AttemptFault, LoadReport
 from ..core.forwarding.outcome import Outcome
 from ..core.forwarding.parts_bundle import PartsBundle
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -10,7 +10,7 @@
 from ..clock import SECOND, Clock, Millis
 from ..core.control.configuration_register import NO_CONFIGURATION, StoredConfiguration
 from ..core.control.evacuations import NO_EVACUATIONS, Evacuations
-from ..core.crash_watch import CrashWatch
+from ..core.crash_detector import CrashDetector
 from ..core.entry_events import AttemptFault
 from ..core.forwarding.caller_hosts import HostRecord, choose_caller_hosts
 from ..core.forwarding.cold_allowance import ColdTerms
@@ -73,7 +73,7 @@
         self._pool = pool
         self._clock = clock
         self.table = TargetTable(zone, terms, policy, rng, cold)
-        self.crash_watch = CrashWatch(QUARANTINE)
+        self.crash_detector = CrashDetector(QUARANTINE)
         """What this host saw of requests that crash servers."""
         self._quarantined_until: dict[str, Millis] = {}
         """When the requests that the leader refuses everywhere may run again."""
@@ -241,15 +241,15 @@
         self, fingerprint: str, target: Target, fault: AttemptFault | None, now: Millis
     ) -> None:
         """Take what became of a request at a server."""
-        watch = self.crash_watch
+        watch = self.crash_detector
         match fault:
             case None | AttemptFault.FAILED:
-                watch.answered(fingerprint)
+                watch.record_answer(fingerprint)
             case AttemptFault.LOST:
-                watch.lost(fingerprint, target.upstream, target.server_id, now)
+                watch.record_loss(fingerprint, target.upstream, target.server_id, now)
             case AttemptFault.NOT_SENT:
                 # It takes no connection any more, so what it lost shortly before was a crash.
-                for crash in watch.confirm(target.server_id, now)[:MAX_CRASHES]:
+                for crash in watch.confirm_crashes(target.server_id, now)[:MAX_CRASHES]:
                     self.crashes.append(CrashReport(crash.fingerprint, crash.server_id))
 
     def is_quarantined(self, fingerprint: str) -> bool:
@@ -261,7 +261,7 @@
         now = self._clock.now()
         if self._quarantined_until.get(fingerprint, 0.0) > now:
             return True
-        return self.crash_watch.is_quarantined(fingerprint, now)
+        return self.crash_detector.is_quarantined(fingerprint, now)
 
     def take_quarantine(self, fingerprints: Iterable[str]) -> None:
         """Take the leader's word of which requests are refused everywhere.
