--- a/src/alderhatch/core/arrival.py
+++ b/src/alderhatch/core/arrival.py
@@ -1,4 +1,4 @@
-"""The way of a request from its arrival to its admission or refusal."""
+"""Handling of an arriving request until it is admitted or refused."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from .single_run import SingleRun
 from .timers import TimerKind
 
-MAX_START_SHARE = 0.5
-"""At most this part of a request's time is kept for its run when it waits."""
-SPREAD = 0.2
-"""Callers are told to come back at times that differ by up to this share."""
+MAX_RESERVED_SHARE = 0.5
+"""The largest share of a queued request's time span that is reserved for its execution."""
+RETRY_AFTER_JITTER = 0.2
+"""Random share by which retry-after times are extended, so that callers don't retry together."""
 
 
 class ArrivalHandler:
     """Decides for each request whether it starts, waits or is refused.
 
-    Every refusal given here is true to its word "not run": nothing of the request has been sent.
+    A request that is refused here has not run: no shard request has been sent for it.
 
     Args:
         state: The core's shared state.
@@ -37,25 +37,27 @@
     def __init__(self, state: CoreState, start: Callable[[Run], None]) -> None:
         self._state = state
         self._start = start
-        self._rates = RateLimiter()
+        self._caller_rates = RateLimiter()
         self.admission = Admission(state.policy)
         self.stopping = False
         self.serve_until: Millis | None = None
-        """When the lease ends; None if the entry runs without control."""
+        """When the lease ends; None if the entry runs without control hosts."""
 
     @property
     def lease_is_over(self) -> bool:
-        """Whether no new request may be taken."""
+        """Whether the lease has expired, so that new requests are refused."""
         return self.serve_until is not None and self._state.now >= self.serve_until
 
     def handle(self, query: int, request: Request) -> None:
-        """Take a caller's request."""
+        """Admit, queue or refuse a caller's request."""
         core = self._state
         if self.stopping:
-            core.refuse(query, None, ErrorKind.STOPPING, "this entry is stopping")
+            core.refuse(
+                query, None, ErrorKind.STOPPING, "entry is stopping and takes no new requests"
+            )
             return
         if self.lease_is_over:
-            message = "this entry has not heard from control for the length of its lease"
+            message = "entry lease expired: no renewal from control"
             core.refuse(query, None, ErrorKind.LEASE_EXPIRED, message)
             return
         rule = core.rules.match(request)
@@ -68,58 +70,60 @@
     def _check(self, query: int, request: Request, rule: Rule, serve: Serve) -> None:
         core = self._state
         fingerprint = fingerprint_of(request)
-        held = core.crashes.block_time_left(fingerprint, core.now)
-        if held is not None:
-            message = "requests with this body crashed the servers that ran them"
-            core.refuse(query, rule, ErrorKind.QUARANTINED, message, held)
+        block_time = core.crashes.block_time_left(fingerprint, core.now)
+        if block_time is not None:
+            message = "request body is quarantined: it crashed the servers that ran it"
+            core.refuse(query, rule, ErrorKind.QUARANTINED, message, block_time)
             return
         upstream = core.servers.upstreams.get(request.upstream)
         if upstream is None or upstream.shard_map is None:
-            message = f"no shard map of {request.upstream} yet"
+            message = f"no shard map of upstream {request.upstream} received yet"
             core.refuse(query, rule, ErrorKind.NO_SNAPSHOT, message)
             return
         if serve.caller_rate is not None:
-            wait = self._rates.take(rule.name, request.caller, serve.caller_rate, core.now)
+            wait = self._caller_rates.take(rule.name, request.caller, serve.caller_rate, core.now)
             if wait:
-                message = f"more than {serve.caller_rate:g} requests a second"
+                message = f"caller exceeds its limit of {serve.caller_rate:g} requests per second"
                 core.refuse(query, rule, ErrorKind.CALLER_LIMIT, message, wait)
                 return
         shard_map = upstream.shard_map
-        known = (query, request, rule, serve, fingerprint, upstream, shard_map, core.now)
+        run_args = (query, request, rule, serve, fingerprint, upstream, shard_map, core.now)
         if request.idempotent:
-            self._admit(QueryRun(*known, core.policy.hedge_few_share), upstream)
+            self._admit(QueryRun(*run_args, core.policy.hedge_few_share), upstream)
         else:
-            self._admit(SingleRun(*known), upstream)
+            self._admit(SingleRun(*run_args), upstream)
 
     def _admit(self, run: Run, upstream: UpstreamView) -> None:
         core = self._state
-        needed = upstream.latencies.fastest + core.policy.path_cost_ms
-        if core.now + needed > run.deadline:
-            message = f"the fastest answers take {needed:.1f} ms"
+        min_time = upstream.latencies.fastest + core.policy.path_cost_ms
+        if core.now + min_time > run.deadline:
+            message = f"deadline too short: the fastest answers take {min_time:.1f} ms"
             core.refuse(run.query, run.rule, ErrorKind.DEADLINE_TOO_SHORT, message)
             return
         slots = sum(server.server.slots for server in upstream.servers.values())
         limiter = self.admission.limiter(upstream.name, slots)
-        if limiter.has_capacity_for(run) and not self._others_first(limiter, run):
-            self._enter(limiter, run)
+        if limiter.has_capacity_for(run) and not self._queued_takes_precedence(limiter, run):
+            self._start_run(limiter, run)
             return
         wait = limiter.expected_wait(run.rank)
         latest = self._latest_start(run)
         if core.now + wait > latest or wait > core.policy.max_wait_share * run.span:
-            self._refuse(run, limiter, f"a wait of {wait:.0f} ms is too long")
+            self._refuse(run, limiter, f"expected wait of {wait:.0f} ms is too long")
             return
         if self.admission.full():
             other = limiter.evict_lower_priority(run.rank)
             if other is None:
-                self._refuse(run, limiter, "the queue is full")
+                self._refuse(run, limiter, "admission queue is full")
                 return
-            self._refuse(other, limiter, "the queue is full of more urgent requests")
+            self._refuse(
+                other, limiter, "evicted from the full admission queue by a more urgent request"
+            )
         core.runs[run.query] = run
         limiter.enqueue(run)
         core.timers.add(latest, TimerKind.QUEUE, run)
 
-    def _others_first(self, limiter: UpstreamLimiter, run: Run) -> bool:
-        """Return whether a request that waits comes before a new one."""
+    def _queued_takes_precedence(self, limiter: UpstreamLimiter, run: Run) -> bool:
+        """Return whether a queued request that may start takes precedence over a new one."""
         if not limiter.waiting or limiter.waiting[0].rank > run.rank:
             return False
         return any(
@@ -128,16 +132,16 @@
         )
 
     def _latest_start(self, run: Run) -> Millis:
-        # A request that starts with hardly any time left takes servers' time and ends without an
-        # answer. Under overload all that wait are near their deadlines; without this the work that
-        # is done would be mostly for nothing.
+        # A request that starts shortly before its deadline uses server time and still gets no
+        # answer. Under overload all queued requests are near their deadlines, so without this limit
+        # most of the work done would be wasted.
         policy = self._state.policy
-        needed = run.upstream.latencies.median
+        min_time = run.upstream.latencies.median
         if isinstance(run, QueryRun):
-            needed = max(needed, run.upstream.queries.quantile(policy.start_quantile))
-        return run.deadline - min(needed, MAX_START_SHARE * run.span) - policy.path_cost_ms
+            min_time = max(min_time, run.upstream.queries.quantile(policy.start_quantile))
+        return run.deadline - min(min_time, MAX_RESERVED_SHARE * run.span) - policy.path_cost_ms
 
-    def _enter(self, limiter: UpstreamLimiter, run: Run) -> None:
+    def _start_run(self, limiter: UpstreamLimiter, run: Run) -> None:
         core = self._state
         core.runs[run.query] = run
         units = len(run.shards) if isinstance(run, QueryRun) else 1
@@ -148,44 +152,45 @@
         core = self._state
         run.ended = True
         core.runs.pop(run.query, None)
-        # Callers that were refused together and told the same time would come back together.
-        spread = 1.0 + SPREAD * core.rng.random()
-        retry_after = self.admission.retry_after(limiter) * spread
+        # Callers refused at the same moment with the same retry-after time would retry together.
+        jitter = 1.0 + RETRY_AFTER_JITTER * core.rng.random()
+        retry_after = self.admission.retry_after(limiter) * jitter
         core.refuse(run.query, run.rule, ErrorKind.OVERLOADED, message, retry_after)
 
     def admit_waiting(self) -> None:
-        """Start the requests that wait, as far as their gates allow."""
+        """Start queued requests as far as the limiters allow."""
         for limiter in self.admission.limiters.values():
             while limiter.waiting:
                 run = limiter.dequeue()
                 if run is None:
                     break
-                self._enter_late(limiter, run)
+                self._start_queued(limiter, run)
 
-    def _enter_late(self, limiter: UpstreamLimiter, run: Run) -> None:
+    def _start_queued(self, limiter: UpstreamLimiter, run: Run) -> None:
         core = self._state
         if self.lease_is_over:
             run.ended = True
             core.runs.pop(run.query, None)
-            message = "the lease ran out while the request waited"
+            message = "entry lease expired while the request was queued"
             core.refuse(run.query, run.rule, ErrorKind.LEASE_EXPIRED, message)
             return
         if core.now > self._latest_start(run):
-            self._refuse(run, limiter, "the deadline can no longer be met")
+            self._refuse(run, limiter, "queued too long to meet the deadline")
             return
         if isinstance(run, QueryRun) and run.upstream.shard_map is not None:
-            # A newer map may have come while it waited; the snapshot is pinned when it starts.
+            # The shard map may have been updated while the request was queued. The snapshot is
+            # pinned when the request starts.
             run.pin(run.upstream.shard_map)
-        self._enter(limiter, run)
+        self._start_run(limiter, run)
 
     def expire(self, run: Run) -> None:
-        """Refuse a request that still waits when its deadline can no longer be met."""
+        """Refuse a request that is still queued and can no longer meet its deadline."""
         limiter = self.admission.limiters.get(run.upstream.name)
         if run.limiter is None and limiter is not None and limiter.remove(run):
-            self._refuse(run, limiter, "the wait outlasted the deadline")
+            self._refuse(run, limiter, "queued until the deadline could no longer be met")
 
     def cancel_waiting(self, run: Run) -> bool:
-        """Take a request out whose caller left; return False if it does not wait."""
+        """Remove a queued request whose caller disconnected; return False if it is not queued."""
         limiter = self.admission.limiters.get(run.upstream.name)
         if run.limiter is not None or limiter is None or not limiter.remove(run):
             return False
--- a/src/alderhatch/core/at_most_once.py
+++ b/src/alderhatch/core/at_most_once.py
@@ -1,8 +1,8 @@
-"""The life of a request that may not be repeated: claimed, sent once, its outcome recorded.
+"""Execution of non-idempotent requests: claimed, sent once, outcome recorded.
 
-What must never happen is that it runs twice. It shows as two robots at one door or a spot aired
-twice. So nothing is sent before the claim is on a majority of disks, a second server is asked only
-after the first one certainly did not run it, and whatever is not certain ends as "outcome unknown".
+Such a request must never run twice; that would send two robots to one door or air a spot twice.
+Nothing is sent before the claim is stored on a majority of disks. A second server is asked only if
+the first certainly did not run the request. Every uncertain result ends as "outcome unknown".
 """
 
 from __future__ import annotations
@@ -34,26 +34,38 @@
 NOT_ADDRESSED = "not addressed: the key belongs to another shard"
 
 _REFUSALS = {
-    Claim.IN_PROGRESS: (ErrorKind.IN_PROGRESS, "an earlier sending still runs"),
-    Claim.OUTCOME_UNKNOWN: (ErrorKind.OUTCOME_UNKNOWN, "it may have run; its answer was lost"),
-    Claim.ID_REUSED: (ErrorKind.REQUEST_ID_REUSED, "the id was used with another body"),
-    Claim.ID_TOO_OLD: (ErrorKind.REQUEST_ID_TOO_OLD, "the id is older than the ledger keeps"),
-    Claim.UNAVAILABLE: (ErrorKind.LEDGER_UNAVAILABLE, "the run ledger gave no answer"),
+    Claim.IN_PROGRESS: (
+        ErrorKind.IN_PROGRESS,
+        "an earlier attempt with this request id is still running",
+    ),
+    Claim.OUTCOME_UNKNOWN: (
+        ErrorKind.OUTCOME_UNKNOWN,
+        "the request may have run, but its answer was lost",
+    ),
+    Claim.ID_REUSED: (
+        ErrorKind.REQUEST_ID_REUSED,
+        "the request id was already used with another body",
+    ),
+    Claim.ID_TOO_OLD: (
+        ErrorKind.REQUEST_ID_TOO_OLD,
+        "the request id is older than the run ledger's retention",
+    ),
+    Claim.UNAVAILABLE: (ErrorKind.LEDGER_UNAVAILABLE, "the run ledger did not answer"),
 }
-IN_PROGRESS_RETRY = 500.0
-LEDGER_RETRY = 1000.0
-REFUSED_RETRY = 100.0
+IN_PROGRESS_RETRY_MS = 500.0
+LEDGER_RETRY_MS = 1000.0
+MIN_REFUSED_RETRY_MS = 100.0
 
 
 class AtMostOnce:
-    """Runs requests that may not be repeated, once they are admitted."""
+    """Runs admitted non-idempotent requests."""
 
     def __init__(self, state: CoreState, dispatcher: Dispatcher) -> None:
         self._state = state
         self._dispatcher = dispatcher
 
     def start(self, run: SingleRun) -> None:
-        """Claim a request that was admitted."""
+        """Claim an admitted request in the run ledger."""
         core = self._state
         run.stage = Stage.CLAIMING
         core.timers.add(run.deadline, TimerKind.DEADLINE, run)
@@ -63,54 +75,54 @@
         )
 
     def decided(self, run: SingleRun, event: ClaimDecided) -> None:
-        """Take the run ledger's answer."""
+        """Handle the run ledger's answer to the claim."""
         if run.stage is not Stage.CLAIMING:
             return
         if event.claim is Claim.GRANTED:
             self._granted(run)
             return
         if event.claim is Claim.DONE:
-            self._serve(run, self._stored(event.stored))
+            self._finish(run, self._decode_stored(event.stored))
         else:
             kind, message = _REFUSALS[event.claim]
-            retry = {Claim.IN_PROGRESS: IN_PROGRESS_RETRY, Claim.UNAVAILABLE: LEDGER_RETRY}
+            retry = {Claim.IN_PROGRESS: IN_PROGRESS_RETRY_MS, Claim.UNAVAILABLE: LEDGER_RETRY_MS}
             if not run.caller_served:
                 run.caller_served = True
                 core = self._state
                 core.refuse(run.query, run.rule, kind, message, retry.get(event.claim))
         if event.claim is Claim.UNAVAILABLE:
-            # The claim may have been recorded after all. Nothing was sent, so it is released;
-            # otherwise a resend would be told "in progress" about a request that never ran.
+            # The claim may still have been recorded. Nothing was sent, so it is released;
+            # otherwise a resend would get "in progress" for a request that never ran.
             self._record(run, Ran.NOT_RUN, None)
         self._end(run)
 
-    def _stored(self, stored: bytes | None) -> Outcome | None:
+    def _decode_stored(self, stored: bytes | None) -> Outcome | None:
         return decode_outcome(stored) if stored else None
 
-    def _serve(self, run: SingleRun, outcome: Outcome | None) -> None:
+    def _finish(self, run: SingleRun, outcome: Outcome | None) -> None:
         if run.caller_served:
             return
         run.caller_served = True
         core = self._state
         if outcome is None:
-            message = "it ran, but its answer was not kept"
+            message = "the request ran, but its answer was not stored"
             core.refuse(run.query, run.rule, ErrorKind.OUTCOME_UNKNOWN, message)
             return
         core.effects.append(Finish(run.query, outcome))
 
     def _granted(self, run: SingleRun) -> None:
         core = self._state
-        # The ledger's answer can come after the caller was told that nothing ran, or left. To run
-        # it then would make that refusal untrue.
+        # The ledger can answer after the caller disconnected or was told that the request did not
+        # run. Running it then would contradict that refusal.
         if run.caller_served or core.now >= run.deadline:
-            self._give_up(run, ErrorKind.LEDGER_UNAVAILABLE, "the claim came too late")
+            self._end_not_run(run, ErrorKind.LEDGER_UNAVAILABLE, "the claim was granted too late")
             return
         run.stage = Stage.WAITING
-        self._plan(run)
+        self._choose_shard(run)
         self._send(run)
 
-    def _plan(self, run: SingleRun) -> None:
-        """Choose the shard by the request's key over the newest map."""
+    def _choose_shard(self, run: SingleRun) -> None:
+        """Choose the shard by the request's key from the newest shard map."""
         newest = run.upstream.shard_map
         assert newest is not None
         run.shard_map = newest
@@ -123,7 +135,7 @@
     def _send(self, run: SingleRun) -> None:
         core = self._state
         if run.shard is None:
-            self._give_up(run, ErrorKind.UPSTREAM_REFUSED, "the upstream has no shards")
+            self._end_not_run(run, ErrorKind.UPSTREAM_REFUSED, "the upstream has no shards")
             return
         sent = self._dispatcher.send(run, run.shard, run.shard_map.snapshot)
         match sent:
@@ -133,16 +145,16 @@
             case SendOutcome.WAITS:
                 run.stage = Stage.WAITING
             case SendOutcome.NO_SERVER:
-                why = f"no server of shard {run.shard.plan.shard.name} took it"
-                self._give_up(run, ErrorKind.UPSTREAM_REFUSED, why)
+                why = f"no server of shard {run.shard.plan.shard.name} accepted the request"
+                self._end_not_run(run, ErrorKind.UPSTREAM_REFUSED, why)
 
     def resume(self, run: SingleRun) -> None:
-        """Send a request that waited for a server."""
+        """Send a request that was waiting for a server."""
         if run.stage is Stage.WAITING:
             self._send(run)
 
     def answered(self, run: SingleRun, state: ShardState, answer: ShardAnswer) -> None:
-        """Take the attempt's answer."""
+        """Handle the attempt's answer: record it and return it to the caller."""
         core = self._state
         name = state.plan.shard.name
         core.crashes.record_answer(run.fingerprint)
@@ -160,61 +172,63 @@
             run.rule.name,
             core.revision,
         )
-        self._ran(run, outcome)
+        self._end_ran(run, outcome)
 
     def failed(
         self, run: SingleRun, state: ShardState, fault: AttemptFault, server_id: str
     ) -> None:
-        """Take an attempt that came to nothing."""
+        """Handle a failed attempt: retry it, or record its outcome."""
         core = self._state
         if fault is AttemptFault.LOST:
             core.crashes.record_loss(run.fingerprint, run.upstream.name, server_id, core.now)
         state.reason = fault
         if fault in NOT_RUN_FAULTS:
-            self._not_run(run, fault)
+            self._retry_unrun(run, fault)
             return
         if fault in (AttemptFault.FAILED, AttemptFault.REFUSED):
-            message = "the upstream answered that it failed"
+            message = "the upstream ran the request and reported a failure"
             if fault is AttemptFault.REFUSED:
-                message = "the upstream answered that the request is at fault"
+                message = "the upstream rejected the request as invalid"
             failure = Failure(ErrorKind.UPSTREAM_FAILED, message)
-            self._ran(run, Refused(failure, run.rule.name, core.revision))
+            self._end_ran(run, Refused(failure, run.rule.name, core.revision))
             return
-        self._unknown(run, f"the attempt ended as {fault}")
+        self._end_unknown(run, f"the attempt ended with fault {fault}")
 
-    def _not_run(self, run: SingleRun, fault: AttemptFault) -> None:
-        """Ask another server: the last one certainly did not run it."""
+    def _retry_unrun(self, run: SingleRun, fault: AttemptFault) -> None:
+        """Try another server; the last one certainly did not run the request."""
         core = self._state
         if core.now >= run.deadline or run.caller_served:
-            self._give_up(run, ErrorKind.UPSTREAM_REFUSED, f"the last server said {fault}")
+            self._end_not_run(
+                run, ErrorKind.UPSTREAM_REFUSED, f"the last server did not run the request: {fault}"
+            )
             return
         run.stage = Stage.WAITING
         if fault is AttemptFault.VERSION_GONE:
             newest = run.upstream.shard_map
             if newest is not None and newest.snapshot > run.shard_map.snapshot:
-                self._plan(run)
+                self._choose_shard(run)
             else:
                 core.effects.append(FetchShardMap(run.upstream.name))
         self._send(run)
 
-    def _ran(self, run: SingleRun, outcome: Outcome) -> None:
+    def _end_ran(self, run: SingleRun, outcome: Outcome) -> None:
         self._record(run, Ran.RAN, outcome)
-        self._serve(run, outcome)
+        self._finish(run, outcome)
         self._end(run)
 
-    def _unknown(self, run: SingleRun, why: str) -> None:
+    def _end_unknown(self, run: SingleRun, why: str) -> None:
         self._record(run, Ran.UNKNOWN, None)
         if not run.caller_served:
             run.caller_served = True
             self._state.refuse(run.query, run.rule, ErrorKind.OUTCOME_UNKNOWN, why)
         self._end(run)
 
-    def _give_up(self, run: SingleRun, kind: ErrorKind, why: str) -> None:
+    def _end_not_run(self, run: SingleRun, kind: ErrorKind, why: str) -> None:
         """End a request that no server has run, and release its claim."""
         self._record(run, Ran.NOT_RUN, None)
         if not run.caller_served:
             run.caller_served = True
-            retry = max(run.retry_after or 0.0, REFUSED_RETRY)
+            retry = max(run.retry_after or 0.0, MIN_REFUSED_RETRY_MS)
             self._state.refuse(run.query, run.rule, kind, why, retry)
         self._end(run)
 
@@ -232,43 +246,53 @@
             run.limiter.release_shards(run, run.units)
 
     def wake(self, run: SingleRun, kind: TimerKind) -> None:
-        """Look at a request whose timer has come up."""
+        """Handle an expired timer of a request."""
         core = self._state
         if kind is TimerKind.LINGER:
-            self._linger_over(run)
+            self._outcome_timed_out(run)
             return
         if kind is not TimerKind.DEADLINE:
             return
         match run.stage:
             case Stage.CLAIMING:
                 run.caller_served = True
-                self._refuse_unclaimed(run)
+                self._refuse_without_claim(run)
             case Stage.WAITING:
-                self._give_up(run, ErrorKind.UPSTREAM_REFUSED, "no server was free in time")
+                self._end_not_run(
+                    run, ErrorKind.UPSTREAM_REFUSED, "no server was available before the deadline"
+                )
             case Stage.SENT:
                 run.caller_served = True
-                message = "no answer in time"
+                message = "no answer before the deadline"
                 core.refuse(run.query, run.rule, ErrorKind.OUTCOME_UNKNOWN, message)
             case Stage.QUEUED:
                 pass
         if not run.ended:
             core.timers.add(core.now + core.policy.linger_ms, TimerKind.LINGER, run)
 
-    def _refuse_unclaimed(self, run: SingleRun) -> None:
+    def _refuse_without_claim(self, run: SingleRun) -> None:
         kind = ErrorKind.LEDGER_UNAVAILABLE
-        self._state.refuse(run.query, run.rule, kind, "no claim in time", LEDGER_RETRY)
+        self._state.refuse(
+            run.query,
+            run.rule,
+            kind,
+            "the run ledger did not grant the claim before the deadline",
+            LEDGER_RETRY_MS,
+        )
 
-    def _linger_over(self, run: SingleRun) -> None:
+    def _outcome_timed_out(self, run: SingleRun) -> None:
         if run.stage is not Stage.SENT:
-            self._give_up(run, ErrorKind.LEDGER_UNAVAILABLE, "no claim came")
+            self._end_not_run(
+                run, ErrorKind.LEDGER_UNAVAILABLE, "the run ledger did not answer the claim"
+            )
             return
         if run.shard is not None:
             for attempt in list(run.shard.attempts.values()):
                 self._dispatcher.cancel(attempt)
-        self._unknown(run, "no answer came")
+        self._end_unknown(run, "the server did not answer the attempt")
 
     def caller_gone(self, run: SingleRun) -> None:
-        """Note that nobody waits for the answer; what was sent runs on and is recorded."""
+        """Handle the caller's disconnect; a sent attempt continues and its outcome is recorded."""
         run.caller_served = True
         if run.stage is Stage.WAITING:
-            self._give_up(run, ErrorKind.UPSTREAM_REFUSED, "")
+            self._end_not_run(run, ErrorKind.UPSTREAM_REFUSED, "")
--- a/src/alderhatch/core/attempt.py
+++ b/src/alderhatch/core/attempt.py
@@ -1,4 +1,4 @@
-"""One shard request sent to one server."""
+"""A shard request sent to one server."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Attempt:
-    """One shard request that is out."""
+    """A shard request in flight."""
 
     __slots__ = ("crash_suspect", "hedge", "number", "run", "sent_at", "server", "state")
 
@@ -32,6 +32,6 @@
         self.server = server
         self.sent_at = sent_at
         self.hedge = hedge
-        """Whether it is a second copy beside another attempt."""
+        """Whether it duplicates another attempt that is still in flight."""
         self.crash_suspect = crash_suspect
         """Whether its body may have crashed another server."""
--- a/src/alderhatch/core/core_state.py
+++ b/src/alderhatch/core/core_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the entry's core share during a step."""
+"""State shared by the components of the entry's core."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CoreState:
-    """The shared state, with the present time and the effects of the step under way."""
+    """The shared state, including the time and the effects of the current step."""
 
     def __init__(self, name: str, zone: str, rng: Random, policy: Policy) -> None:
         self.name = name
@@ -37,19 +37,19 @@
         self.rules = RuleList()
         self.revision = 0
         self.runs: dict[int, Run] = {}
-        """The requests under way, by their numbers."""
+        """Running and queued requests by query number."""
         self.timers = Timers(self.runs)
         self.hedge_share = 1.0
-        """What control allows every rule at most, as a fraction of its shard requests."""
+        """The most hedges control allows any rule, as a fraction of its shard requests."""
         self.hedges: dict[str, RatioBudget] = {}
-        """Hedge budgets by the rule's name."""
+        """Hedge budgets by rule name."""
         self.shard_requests_sent = 0
         self.shard_requests_needed = 0
         self.wasted = 0
-        """Attempts that were cancelled or whose answer was of no use."""
+        """Attempts that were cancelled or whose answer was discarded."""
 
     def hedge_budget(self, rule: Rule, serve: Serve) -> RatioBudget:
-        """Return the budget of a rule, which the tier's budget bounds."""
+        """Return a rule's hedge budget, capped by the tier-wide limit."""
         budget = self.hedges.get(rule.name)
         if budget is None:
             if len(self.hedges) >= MAX_HEDGE_BUDGETS:
@@ -67,7 +67,7 @@
         message: str,
         retry_after: Millis | None = None,
     ) -> None:
-        """Give a caller its refusal."""
+        """Refuse a caller's request."""
         failure = Failure(kind, message, retry_after_ms=retry_after)
         name = rule.name if rule is not None else ""
         self.effects.append(Finish(query, Refused(failure, name, self.revision)))
--- a/src/alderhatch/core/crash_detector.py
+++ b/src/alderhatch/core/crash_detector.py
@@ -1,4 +1,4 @@
-"""Bodies that crash the servers which run them."""
+"""Detection of request bodies that crash the servers that run them."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
     from .request import Request
 
 CRASH_LIMIT = 2
-"""Servers that one body may crash; then it is refused."""
-CONFIRM_WITHIN: Millis = 5 * SECOND
-"""A refused connection this long after a lost connection makes it a crash."""
-RESTARTED_WITHIN: Millis = 60 * SECOND
-"""A restart this long after a lost connection makes it a crash, unless the server was seen to run
-on in between. A busy entry may ask for the server's health seconds later."""
-HOLD: Millis = 5 * SECOND
-"""How long a body is refused after two losses while it is not known whether they were crashes."""
+"""The number of servers a body may crash before it is refused."""
+CONFIRM_WINDOW_MS: Millis = 5 * SECOND
+"""A refused connection within this time after a lost connection confirms a crash."""
+RESTART_WINDOW_MS: Millis = 60 * SECOND
+"""A restart within this time after a lost connection confirms a crash, unless the same process was
+seen alive in between. It is long because a busy entry may read the server's health seconds late."""
+PROVISIONAL_BLOCK_MS: Millis = 5 * SECOND
+"""How long a body is refused after two losses that are not yet confirmed as crashes."""
 MAX_FINGERPRINTS = 4096
-MANY_SERVERS = 3
-MANY_WITHIN: Millis = 250.0
+MASS_LOSS_SERVERS = 3
+MASS_LOSS_WINDOW_MS: Millis = 250.0
 
 T = TypeVar("T")
 
 
 class Crash(NamedTuple):
-    """A body that was running on a server which crashed."""
+    """A body that was running on a server when it crashed."""
 
     fingerprint: str
     upstream: str
     server_id: str
 
 
-class _Hold(NamedTuple):
-    """A body that is refused here."""
+class _Block(NamedTuple):
+    """The period for which this entry refuses a body."""
 
     since: Millis
     until: Millis
@@ -47,174 +47,183 @@
 
 
 class _Loss(NamedTuple):
+    """A connection lost while a body ran on a server."""
+
     fingerprint: str
     upstream: str
     at: Millis
     ran_on: bool = False
-    """Whether the server was seen to be the same process afterwards."""
+    """Whether the same server process was seen alive afterwards."""
 
 
 def fingerprint_of(request: Request) -> str:
-    """Return the hash by which a body is known tier-wide."""
+    """Return the hash that identifies a request body throughout the tier."""
     return fingerprint_of_parts(request.upstream.encode(), request.kind.encode(), request.body)
 
 
 def fingerprint_of_parts(*parts: bytes) -> str:
-    """Return the hash by which what consists of these parts is known tier-wide."""
+    """Return the hash that identifies a request made of these parts throughout the tier."""
     return xxh3_128_hexdigest(b"\0".join(parts))
 
 
 class CrashDetector:
-    """Counts losses by body and server, and says which bodies are refused.
+    """Counts losses by body and server, and decides which bodies are refused.
 
-    A body that any server answered is never blamed: it was only on the same server as the one at
-    fault.
+    A body that any server has answered is never blamed: it only shared a server with the body that
+    caused the crash.
 
     Args:
-        quarantine: How long a body is refused here after it crashed two servers.
+        quarantine_ms: How long a body is refused here after it crashed two servers.
     """
 
-    def __init__(self, quarantine: Millis) -> None:
-        self._quarantine = quarantine
-        self._safe: OrderedDict[str, None] = OrderedDict()
-        self._losses: dict[str, list[_Loss]] = {}
-        self._lost_on: OrderedDict[str, dict[str, Millis]] = OrderedDict()
-        self._crashed: OrderedDict[str, set[str]] = OrderedDict()
-        self._holds: OrderedDict[str, _Hold] = OrderedDict()
-        self._lost_servers: dict[str, Millis] = {}
+    def __init__(self, quarantine_ms: Millis) -> None:
+        self._quarantine_ms = quarantine_ms
+        self._answered: OrderedDict[str, None] = OrderedDict()
+        self._losses_by_server: dict[str, list[_Loss]] = {}
+        self._losses_by_body: OrderedDict[str, dict[str, Millis]] = OrderedDict()
+        self._crashes_by_body: OrderedDict[str, set[str]] = OrderedDict()
+        self._blocks: OrderedDict[str, _Block] = OrderedDict()
+        self._last_loss_by_server: dict[str, Millis] = {}
         self.quarantined_tier_wide: frozenset[str] = frozenset()
-        """What control has quarantined."""
+        """Fingerprints of bodies that control has quarantined."""
 
     def is_confirmed(self, fingerprint: str) -> bool:
-        """Return whether a body is known to have crashed as many servers as it may."""
-        return len(self._crashed.get(fingerprint, ())) >= CRASH_LIMIT
+        """Return whether a body has reached the limit of confirmed crashes."""
+        return len(self._crashes_by_body.get(fingerprint, ())) >= CRASH_LIMIT
 
     def is_quarantined(self, fingerprint: str, now: Millis) -> bool:
-        """Return whether a body is refused here because it crashed servers."""
-        hold = self._holds.get(fingerprint)
-        return hold is not None and hold.confirmed and now < hold.until
+        """Return whether a body is refused here because of confirmed crashes."""
+        block = self._blocks.get(fingerprint)
+        return block is not None and block.confirmed and now < block.until
 
     def block_time_left(self, fingerprint: str, now: Millis) -> Millis | None:
-        """Return how long a body is refused, or None if it is not."""
+        """Return for how long a body is still refused, or None if it is not refused."""
         if fingerprint in self.quarantined_tier_wide:
-            return self._quarantine
-        hold = self._holds.get(fingerprint)
-        if hold is None or now >= hold.until:
+            return self._quarantine_ms
+        block = self._blocks.get(fingerprint)
+        if block is None or now >= block.until:
             return None
-        if not hold.confirmed and self._many_lost(hold.since):
+        if not block.confirmed and self._is_mass_loss(block.since):
             return None
-        return hold.until - now
+        return block.until - now
 
     def was_answered(self, fingerprint: str) -> bool:
-        """Return whether some server has answered this body."""
-        return fingerprint in self._safe
+        """Return whether any server has answered a body."""
+        return fingerprint in self._answered
 
     def recent_losses(self, fingerprint: str, now: Millis) -> int:
-        """Return on how many servers a body that no server has answered was lost lately."""
-        servers = self._lost_on.get(fingerprint)
+        """Return on how many servers an unanswered body was recently lost."""
+        servers = self._losses_by_body.get(fingerprint)
         if not servers:
             return 0
         return sum(
-            1 for at in servers.values() if now - at < CONFIRM_WITHIN and not self._many_lost(at)
+            1
+            for at in servers.values()
+            if now - at < CONFIRM_WINDOW_MS and not self._is_mass_loss(at)
         )
 
     def record_answer(self, fingerprint: str) -> None:
-        """Note that a server answered this body."""
-        if fingerprint in self._safe:
+        """Record that a server answered a body, which clears it of suspicion."""
+        if fingerprint in self._answered:
             return
-        _put(self._safe, fingerprint, None)
-        self._lost_on.pop(fingerprint, None)
+        _put_bounded(self._answered, fingerprint, None)
+        self._losses_by_body.pop(fingerprint, None)
 
     def record_loss(self, fingerprint: str, upstream: str, server_id: str, now: Millis) -> int:
-        """Note a connection lost while a body ran.
+        """Record a connection lost while a body ran.
 
         Returns:
-            On how many servers the body was lost, as far as it is a suspect; 0 if it is none.
+            The number of servers on which the body was recently lost; 0 if a server has answered
+            it.
         """
-        self._lost_servers[server_id] = now
-        if len(self._lost_servers) > MAX_FINGERPRINTS:
-            self._lost_servers.pop(next(iter(self._lost_servers)))
-        if fingerprint in self._safe:
+        self._last_loss_by_server[server_id] = now
+        if len(self._last_loss_by_server) > MAX_FINGERPRINTS:
+            self._last_loss_by_server.pop(next(iter(self._last_loss_by_server)))
+        if fingerprint in self._answered:
             return 0
-        losses = self._losses.setdefault(server_id, [])
-        losses[:] = [loss for loss in losses if now - loss.at < RESTARTED_WITHIN][
+        losses = self._losses_by_server.setdefault(server_id, [])
+        losses[:] = [loss for loss in losses if now - loss.at < RESTART_WINDOW_MS][
             -MAX_FINGERPRINTS:
         ]
         losses.append(_Loss(fingerprint, upstream, now))
-        servers = self._lost_on.get(fingerprint, {})
-        servers = {s: at for s, at in servers.items() if now - at < CONFIRM_WITHIN}
+        servers = self._losses_by_body.get(fingerprint, {})
+        servers = {lost_on: at for lost_on, at in servers.items() if now - at < CONFIRM_WINDOW_MS}
         servers[server_id] = now
-        _put(self._lost_on, fingerprint, servers)
-        # A copy that was under way when the body was quarantined must not shorten that.
+        _put_bounded(self._losses_by_body, fingerprint, servers)
+        # The loss of an attempt that was already in flight must not shorten a quarantine.
         if len(servers) >= CRASH_LIMIT and not self.is_quarantined(fingerprint, now):
-            _put(self._holds, fingerprint, _Hold(now, now + HOLD, False))
+            _put_bounded(self._blocks, fingerprint, _Block(now, now + PROVISIONAL_BLOCK_MS, False))
         return len(servers)
 
-    def _many_lost(self, around: Millis) -> bool:
-        # A whole zone or network that goes takes many servers at the same moment. One body can't:
-        # it is on two servers at most until one has answered it. Without the difference the bodies
-        # that were in flight when a zone went would be refused for minutes.
-        near = [at for at in self._lost_servers.values() if abs(at - around) < MANY_WITHIN]
-        return len(near) >= MANY_SERVERS
+    def _is_mass_loss(self, loss_at: Millis) -> bool:
+        # The failure of a zone or network loses many servers at the same moment. A single body
+        # cannot: it is on at most two servers until one has answered it. Without this distinction,
+        # bodies in flight during a zone failure would be refused for minutes.
+        recent = [
+            at
+            for at in self._last_loss_by_server.values()
+            if abs(at - loss_at) < MASS_LOSS_WINDOW_MS
+        ]
+        return len(recent) >= MASS_LOSS_SERVERS
 
     def record_alive(self, server_id: str, asked_at: Millis) -> None:
-        """Note that a server, asked after it lost connections, is the same process as before.
+        """Record that a server, probed after it lost connections, is still the same process.
 
-        A network that drops connections, or a server that closes them, looks like a crash to the
-        query. Were the losses held against the body, harmless queries would be refused while a
-        replica of every shard could answer them. The losses stay known, so that a restart seen
-        later still counts as a crash.
+        To a query, a network that drops connections or a server that closes them looks like a
+        crash. Blaming the body for these losses would refuse harmless queries even if a replica of
+        every shard could answer them. The losses are kept, so that a restart seen later still
+        counts as a crash.
 
         Args:
             server_id: The server.
-            asked_at: When it was asked. An answer to an earlier question may have left the server
-                just before it crashed; taken for a sign of life, it would let a deadly body go on
-                to one server after the other.
+            asked_at: When the probe was sent. The answer to a probe sent before the loss may have
+                left the server just before it crashed. Accepting it as proof that the server is
+                alive would let a crashing body reach one server after another.
         """
-        losses = self._losses.get(server_id, [])
+        losses = self._losses_by_server.get(server_id, [])
         losses[:] = [loss._replace(ran_on=loss.ran_on or loss.at < asked_at) for loss in losses]
         for loss in losses:
-            servers = self._lost_on.get(loss.fingerprint)
+            servers = self._losses_by_body.get(loss.fingerprint)
             if servers is None or servers.get(server_id, asked_at) >= asked_at:
                 continue
             del servers[server_id]
-            hold = self._holds.get(loss.fingerprint)
-            if hold is not None and not hold.confirmed and len(servers) < CRASH_LIMIT:
-                del self._holds[loss.fingerprint]
+            block = self._blocks.get(loss.fingerprint)
+            if block is not None and not block.confirmed and len(servers) < CRASH_LIMIT:
+                del self._blocks[loss.fingerprint]
 
     def confirm_crashes(self, server_id: str, now: Millis, restarted: bool = False) -> list[Crash]:
-        """Note that a server was started anew or takes no connection.
+        """Record that a server has restarted or refuses connections.
 
         Args:
             server_id: The server.
-            now: The time.
-            restarted: Whether it is known to be another process than before.
+            now: The current time.
+            restarted: Whether the server is known to be a new process.
 
         Returns:
-            The crashes to be reported: bodies that were lost there before.
+            The crashes to report: one for each body lost there within the window.
         """
-        losses = self._losses.pop(server_id, ())
+        losses = self._losses_by_server.pop(server_id, ())
         crashes = []
         for loss in losses:
-            within = RESTARTED_WITHIN if restarted and not loss.ran_on else CONFIRM_WITHIN
-            if now - loss.at >= within or loss.fingerprint in self._safe:
+            window = RESTART_WINDOW_MS if restarted and not loss.ran_on else CONFIRM_WINDOW_MS
+            if now - loss.at >= window or loss.fingerprint in self._answered:
                 continue
-            if self._many_lost(loss.at):
+            if self._is_mass_loss(loss.at):
                 continue
             crashes.append(Crash(loss.fingerprint, loss.upstream, server_id))
-            servers = self._crashed.get(loss.fingerprint, set()) | {server_id}
-            _put(self._crashed, loss.fingerprint, servers)
+            servers = self._crashes_by_body.get(loss.fingerprint, set()) | {server_id}
+            _put_bounded(self._crashes_by_body, loss.fingerprint, servers)
             if len(servers) >= CRASH_LIMIT:
-                hold = _Hold(now, now + self._quarantine, True)
-                _put(self._holds, loss.fingerprint, hold)
+                block = _Block(now, now + self._quarantine_ms, True)
+                _put_bounded(self._blocks, loss.fingerprint, block)
         return crashes
 
     def blocked_fingerprints(self, now: Millis) -> Iterable[str]:
-        """Return the bodies that this entry refuses on its own account."""
-        return [name for name in self._holds if self.block_time_left(name, now) is not None]
+        """Return the fingerprints of bodies that this entry refuses by its own observations."""
+        return [body for body in self._blocks if self.block_time_left(body, now) is not None]
 
 
-def _put(table: OrderedDict[str, T], key: str, value: T) -> None:
+def _put_bounded(table: OrderedDict[str, T], key: str, value: T) -> None:
     table[key] = value
     table.move_to_end(key)
     if len(table) > MAX_FINGERPRINTS:
--- a/src/alderhatch/core/dispatcher.py
+++ b/src/alderhatch/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends shard requests: chooses the server, lets them wait for one, follows each attempt."""
+"""Dispatch of shard requests: server choice, queueing for a server, tracking of attempts."""
 
 from __future__ import annotations
 
@@ -20,105 +20,112 @@
 from .shard_map import Snapshot
 from .timers import TimerKind
 
-NOTHING: frozenset[str] = frozenset()
-COPY_ROOM = 1.0
-"""A copy goes to a server that was asked already if it has less than this load for each slot."""
+NO_EXCLUSIONS: frozenset[str] = frozenset()
+MAX_COPY_LOAD_PER_SLOT = 1.0
+"""Load per slot below which a hedge may go to a server that already runs the shard request."""
 
 
 class SendOutcome(Enum):
-    """What became of a shard request that was to be sent."""
+    """The result of an attempt to send a shard request."""
 
     SENT = "sent"
     WAITS = "waits"
-    """It is sent as soon as one of the servers may be asked."""
+    """It is sent as soon as one of the servers can accept it."""
     NO_SERVER = "no_server"
-    """No server is left that could be asked before the deadline."""
+    """No server can accept it before the deadline."""
 
 
 class Dispatcher:
-    """The attempts that are out and the shard requests that wait for a server."""
+    """Tracks the attempts in flight and the shard requests that wait for a server."""
 
     def __init__(self, state: CoreState) -> None:
         self._state = state
-        self._next = 0
+        self._last_attempt_number = 0
         self.attempts: dict[int, Attempt] = {}
-        self._parked: dict[tuple[str, str], list[tuple[int, int, Run, ShardState]]] = {}
-        self._park_number = 0
-        self._hedges_on: dict[str, list[Attempt]] = {}
-        self._waiting_on: dict[str, dict[tuple[str, str], None]] = {}
-        self._freed: list[ServerView] = []
+        self._waiting_by_shard: dict[tuple[str, str], list[tuple[int, int, Run, ShardState]]] = {}
+        self._last_waiting_number = 0
+        self._hedges_by_server: dict[str, list[Attempt]] = {}
+        self._waiting_shards_by_server: dict[str, dict[tuple[str, str], None]] = {}
+        self._freed_servers: list[ServerView] = []
         self.pacer = Pacer(state)
         self._wake_at: Millis | None = None
-        """When the timer for waiting shard requests comes up."""
+        """When the timer for waiting shard requests expires."""
 
     @property
     def waiting_count(self) -> int:
-        """Shard requests that wait for a server, ended ones included."""
-        return sum(len(heap) for heap in self._parked.values())
+        """The number of shard requests that wait for a server, including ended ones."""
+        return sum(len(heap) for heap in self._waiting_by_shard.values())
 
     def send(
         self, run: Run, shard: ShardState, snapshot: Snapshot, again: bool = False
     ) -> SendOutcome:
-        """Send a shard request to the best server, or let it wait for one.
+        """Send a shard request to the best server, or queue it until one is available.
 
         Args:
             run: The request that it belongs to.
             shard: The shard.
-            snapshot: What it is to read.
-            again: Whether a server that was asked before may be asked once more.
+            snapshot: The snapshot to read.
+            again: Whether servers that were already tried may be tried again.
+
+        Returns:
+            Whether it was sent, waits for a server, or cannot be sent before the deadline.
         """
         core = self._state
-        excluded = NOTHING if again else shard.tried
+        excluded = NO_EXCLUSIONS if again else shard.tried
         crash_suspect = core.crashes.recent_losses(run.fingerprint, core.now) > 0
         server: ServerView | None = None
         if self.pacer.has_room(run, shard):
-            server = self._choose(run, shard, excluded, crash_suspect)
+            server = self._choose_server(run, shard, excluded, crash_suspect)
         if server is not None:
-            self._emit(run, shard, server, snapshot, False, crash_suspect)
+            self._send_to(run, shard, server, snapshot, False, crash_suspect)
             return SendOutcome.SENT
         wake = self._wake_time(run, shard, excluded, core.now)
         if wake is None or wake >= run.deadline:
             return SendOutcome.NO_SERVER
         shard.waiting = True
-        self._park_number += 1
+        self._last_waiting_number += 1
         key = (run.upstream.name, shard.plan.shard.name)
-        entry = (run.rank, self._park_number, run, shard)
-        heapq.heappush(self._parked.setdefault(key, []), entry)
+        entry = (run.rank, self._last_waiting_number, run, shard)
+        heapq.heappush(self._waiting_by_shard.setdefault(key, []), entry)
         for server in shard.plan.replicas:
-            self._waiting_on.setdefault(server.server_id, {})[key] = None
+            self._waiting_shards_by_server.setdefault(server.server_id, {})[key] = None
             self.pacer.wake_for(server)
-        # One timer looks at all that waits. With one for each they would multiply in every round of
-        # refusals, seen as an entry that does nothing but look at its waiting requests.
+        # One timer serves all waiting shard requests. One timer each would multiply with every
+        # round of refusals until the entry does nothing but recheck its waiting requests.
         if wake > core.now and (self._wake_at is None or wake < self._wake_at):
             self._wake_at = wake
             core.timers.add(wake, TimerKind.WAITING, None)
         return SendOutcome.WAITS
 
     def hedge(self, run: Run, shard: ShardState, snapshot: Snapshot) -> bool:
-        """Send a second copy of a shard request if a server is free for it."""
+        """Send a hedge for a shard request if a server has capacity for it.
+
+        Returns:
+            Whether a hedge was sent.
+        """
         now = self._state.now
-        busy = {attempt.server.server_id for attempt in shard.attempts.values()}
-        server = self._choose(run, shard, busy, False)
+        busy_server_ids = {attempt.server.server_id for attempt in shard.attempts.values()}
+        server = self._choose_server(run, shard, busy_server_ids, False)
         if server is None:
-            server = self._choose(run, shard, NOTHING, False)
-            # A straggler is often the request's own bad luck, so the same server may well be faster
-            # a second time; but behind a queue a copy would only lengthen it.
-            if server is None or server.load(now) >= COPY_ROOM * server.slots:
+            server = self._choose_server(run, shard, NO_EXCLUSIONS, False)
+            # A straggler is often specific to one execution, so the same server may be faster the
+            # second time. On a server with a queue the hedge would only lengthen the queue.
+            if server is None or server.load(now) >= MAX_COPY_LOAD_PER_SLOT * server.slots:
                 return False
         shard.hedges += 1
-        self._emit(run, shard, server, snapshot, True, False)
+        self._send_to(run, shard, server, snapshot, True, False)
         return True
 
     def expected_time(self, run: Run, shard: ShardState) -> Millis:
-        """Return how long a shard request sent now is likely to take, in milliseconds."""
+        """Return the expected duration of a shard request sent now, in milliseconds."""
         core = self._state
-        server = self._choose(run, shard, NOTHING, False)
+        server = self._choose_server(run, shard, NO_EXCLUSIONS, False)
         if server is None:
             return inf
-        away = not run.any_zone and server.zone != core.zone
-        return server.estimate(core.now) + (core.policy.zone_cost_ms if away else 0.0)
+        other_zone = not run.any_zone and server.zone != core.zone
+        return server.estimate(core.now) + (core.policy.zone_cost_ms if other_zone else 0.0)
 
-    def _choose(
+    def _choose_server(
         self, run: Run, shard: ShardState, excluded: set[str] | frozenset[str], crash_suspect: bool
     ) -> ServerView | None:
         core = self._state
@@ -130,7 +137,7 @@
     def _wake_time(
         self, run: Run, shard: ShardState, excluded: set[str] | frozenset[str], now: Millis
     ) -> Millis | None:
-        """Return when a server may be asked, ``now`` for when one is free, None for never."""
+        """Return when the first replica can be tried, at the earliest ``now``; None if never."""
         earliest: Millis | None = None
         for server in shard.plan.replicas:
             if server.server_id in excluded or server.leaving or now < server.drained_until:
@@ -143,7 +150,7 @@
             earliest = at if earliest is None else min(earliest, at)
         return earliest
 
-    def _emit(
+    def _send_to(
         self,
         run: Run,
         shard: ShardState,
@@ -153,8 +160,8 @@
         crash_suspect: bool,
     ) -> None:
         core = self._state
-        self._next += 1
-        number = self._next
+        self._last_attempt_number += 1
+        number = self._last_attempt_number
         attempt = Attempt(number, run, shard, server, core.now, hedge, crash_suspect)
         shard.waiting = False
         shard.attempts[number] = attempt
@@ -167,7 +174,7 @@
             server.suspects += 1
         core.shard_requests_sent += 1
         if core.policy.take_back_hedges:
-            self._take_back(attempt)
+            self._cancel_superseded_hedges(attempt)
         core.effects.append(
             SendShard(
                 number,
@@ -181,19 +188,24 @@
             )
         )
 
-    def _take_back(self, new: Attempt) -> None:
-        hedges = self._hedges_on.setdefault(new.server.server_id, [])
-        hedges[:] = [held for held in hedges if held.number in self.attempts]
-        if new.hedge:
-            hedges.append(new)
+    def _cancel_superseded_hedges(self, new_attempt: Attempt) -> None:
+        hedges = self._hedges_by_server.setdefault(new_attempt.server.server_id, [])
+        hedges[:] = [
+            hedge_attempt for hedge_attempt in hedges if hedge_attempt.number in self.attempts
+        ]
+        if new_attempt.hedge:
+            hedges.append(new_attempt)
             return
-        for held in hedges:
-            if len(held.state.attempts) > 1 and new.server.load(self._state.now) > new.server.slots:
-                self.cancel(held)
+        for hedge_attempt in hedges:
+            if (
+                len(hedge_attempt.state.attempts) > 1
+                and new_attempt.server.load(self._state.now) > new_attempt.server.slots
+            ):
+                self.cancel(hedge_attempt)
 
     def answered(self, number: int, load: LoadReport | None) -> Attempt | None:
-        """Take an attempt that brought a good answer off the list; None if it is not known."""
-        attempt = self._end(number)
+        """Remove and return an attempt with a valid answer; None if it is not in flight."""
+        attempt = self._remove_attempt(number)
         if attempt is None:
             return None
         core = self._state
@@ -210,8 +222,8 @@
     def failed(
         self, number: int, fault: AttemptFault, retry_after: Millis | None
     ) -> Attempt | None:
-        """Take an attempt that came to nothing off the list; None if it is not known."""
-        attempt = self._end(number)
+        """Remove and return a failed attempt; None if it is not in flight."""
+        attempt = self._remove_attempt(number)
         if attempt is None:
             return None
         core = self._state
@@ -219,12 +231,12 @@
         match fault:
             case AttemptFault.SHED:
                 server.saw_shed(retry_after, core.now)
-                span = server.shed_until - core.now
-                attempt.run.retry_after = max(attempt.run.retry_after or 0.0, span)
+                shed_time_left = server.shed_until - core.now
+                attempt.run.retry_after = max(attempt.run.retry_after or 0.0, shed_time_left)
             case AttemptFault.DRAINING | AttemptFault.MOVED:
                 server.saw_draining(core.now)
             case AttemptFault.SILENT:
-                self._silent(attempt)
+                self._record_silence(attempt)
             case AttemptFault.LOST:
                 core.servers.fail(attempt.run.upstream.name, server, core.now)
                 core.effects.append(ProbeServer(server.server_id))
@@ -239,17 +251,17 @@
                 pass
         return attempt
 
-    def _silent(self, attempt: Attempt) -> None:
-        # Something between the two ends can lose track of a connection while new ones work. Held
-        # against the server at once, one such connection would take a good replica out; so only
-        # silence on a second one counts against the server.
+    def _record_silence(self, attempt: Attempt) -> None:
+        # An intermediary can drop the state of one connection while new connections work. If the
+        # first silent connection counted as a failure, it would remove a healthy replica. So only
+        # a second silent connection within the window counts.
         core = self._state
         server = attempt.server
         if core.now - server.silent_at < core.policy.silent_window_ms:
             core.servers.fail(attempt.run.upstream.name, server, core.now)
         server.silent_at = core.now
 
-    def _end(self, number: int) -> Attempt | None:
+    def _remove_attempt(self, number: int) -> Attempt | None:
         attempt = self.attempts.pop(number, None)
         if attempt is None:
             return None
@@ -257,28 +269,31 @@
         attempt.server.in_flight -= 1
         if attempt.run.rank:
             attempt.server.low_in_flight -= 1
-        if self._parked:
-            self._freed.append(attempt.server)
+        if self._waiting_by_shard:
+            self._freed_servers.append(attempt.server)
         if attempt.crash_suspect:
             attempt.server.suspects -= 1
         return attempt
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt; what it has taken so far counts as its latency if that is long."""
+        """Cancel an attempt.
+
+        The elapsed time is recorded as a latency of the server if it exceeds the server's average.
+        """
         core = self._state
-        if self._end(attempt.number) is None:
+        if self._remove_attempt(attempt.number) is None:
             return
         core.wasted += 1
-        span = core.now - attempt.sent_at
-        if span > attempt.server.latency:
-            attempt.server.saw_latency(span, core.now)
+        elapsed_ms = core.now - attempt.sent_at
+        if elapsed_ms > attempt.server.latency:
+            attempt.server.saw_latency(elapsed_ms, core.now)
         core.effects.append(CancelAttempt(attempt.number))
 
     def within_crash_limit(self, run: QueryRun) -> bool:
-        """Return whether one more attempt stays within the servers that a body may crash.
+        """Return whether one more attempt keeps a body within the number of servers it may crash.
 
-        A body that no server has answered is on no more servers at a time than it may crash. Once
-        a query's remaining shards were sent behind its canaries, this no longer bounds it.
+        A body that no server has answered is sent to at most that many servers at a time. The bound
+        no longer applies once the query's remaining shards have been sent after its canaries.
         """
         core = self._state
         if not run.canary and len(run.shards) > 1:
@@ -289,48 +304,48 @@
         return lost + run.attempts_out < CRASH_LIMIT
 
     def take_ready(self) -> list[tuple[Run, ShardState]]:
-        """Take out the waiting shard requests for which a server got free during this step."""
+        """Remove and return waiting shard requests for which a server became free in this step."""
         ready: list[tuple[Run, ShardState]] = []
-        for server in self._freed:
+        for server in self._freed_servers:
             room = int(server.cap) - server.in_flight
             self.pacer.wake_for(server)
-            # A query keeps the shards of its own map. Looked for under the names of the newest map,
-            # what waits for a shard that was split meanwhile would wait until its deadline.
-            waiting = self._waiting_on.get(server.server_id, {})
+            # A query keeps the shards of its pinned map. Looking only for shard names of the newest
+            # map would leave requests for a shard that was split waiting until their deadline.
+            waiting = self._waiting_shards_by_server.get(server.server_id, {})
             for key in list(waiting):
-                room -= self._take_waiting(key, room, ready)
-                if key not in self._parked:
+                room -= self._take_waiting_for_shard(key, room, ready)
+                if key not in self._waiting_by_shard:
                     del waiting[key]
-        self._freed.clear()
+        self._freed_servers.clear()
         return ready
 
     def release_paced(self) -> None:
-        """Look again at the servers that were held back from lower classes until now."""
-        self._freed += self.pacer.due()
+        """Recheck servers whose pause between requests of lower priority classes has ended."""
+        self._freed_servers += self.pacer.due()
 
-    def _take_waiting(
+    def _take_waiting_for_shard(
         self, key: tuple[str, str], room: int, ready: list[tuple[Run, ShardState]]
     ) -> int:
-        heap = self._parked.get(key)
-        taken = 0
-        while heap and taken < room:
+        heap = self._waiting_by_shard.get(key)
+        taken_count = 0
+        while heap and taken_count < room:
             _, _, run, shard = heap[0]
-            if not run.ended and not self.pacer.has_room(run, shard, taken):
+            if not run.ended and not self.pacer.has_room(run, shard, taken_count):
                 break
             heapq.heappop(heap)
             if not run.ended and shard.waiting and not shard.closed:
                 shard.waiting = False
                 ready.append((run, shard))
-                taken += 1
+                taken_count += 1
         if heap is not None and not heap:
-            del self._parked[key]
-        return taken
+            del self._waiting_by_shard[key]
+        return taken_count
 
     def take_all_waiting(self) -> list[tuple[Run, ShardState]]:
-        """Take out all waiting shard requests, the most urgent first."""
-        entries = sorted(entry for heap in self._parked.values() for entry in heap)
-        self._parked.clear()
-        self._waiting_on.clear()
+        """Remove and return all waiting shard requests, the most urgent first."""
+        entries = sorted(entry for heap in self._waiting_by_shard.values() for entry in heap)
+        self._waiting_by_shard.clear()
+        self._waiting_shards_by_server.clear()
         if self._wake_at is not None and self._wake_at <= self._state.now:
             self._wake_at = None
         ready = []
--- a/src/alderhatch/core/entry_events.py
+++ b/src/alderhatch/core/entry_events.py
@@ -1,4 +1,4 @@
-"""What the entry's core is told and what it asks for in return."""
+"""Events that the entry's core processes and effects that it requests."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 
 
 class LoadReport(NamedTuple):
-    """What a server says of its own load; it can lag or mislead."""
+    """The load that a server reports of itself; it can be outdated or wrong."""
 
     in_flight: int
-    """Shard requests it runs."""
+    """Shard requests that the server is running."""
     queued: int
-    """Shard requests that wait there."""
+    """Shard requests queued at the server."""
 
 
 class AttemptFault(StrEnum):
-    """How a shard request sent to one server came to nothing."""
+    """How a shard request sent to one server failed."""
 
     NOT_SENT = "not_sent"
-    """No byte of it left this host; it certainly did not run."""
+    """No byte of it was sent; it certainly did not run."""
     SHED = "shed"
-    """The server refused it and says that it did not run."""
+    """The server refused it because of load and reports that it did not run."""
     DRAINING = "draining"
-    """The server is leaving and refused it; it did not run."""
+    """The server is shutting down and refused it; it did not run."""
     MOVED = "moved"
-    """Another server has taken the address and refused it; it did not run."""
+    """The address now belongs to another server, which refused it; it did not run."""
     VERSION_GONE = "version_gone"
     """The server no longer holds the pinned snapshot; it did not run."""
     REFUSED = "refused"
-    """The server answered that the request itself is at fault."""
+    """The server rejected the request as invalid."""
     FAILED = "failed"
-    """The server ran it and answered that it failed."""
+    """The server ran it and reported a failure."""
     LOST = "lost"
-    """The connection broke after a byte was sent."""
+    """The connection broke after at least one byte was sent."""
     OWNER_LOST = "owner_lost"
-    """The entry that carried it to the server was lost; the server need not be at fault."""
+    """The entry that relayed it to the server was lost; the server may be healthy."""
     SILENT = "silent"
-    """Nothing came for longer than the progress timeout."""
+    """No data arrived for longer than the progress timeout."""
     GARBAGE = "garbage"
-    """What came was no answer of the protocol."""
+    """The answer violated the protocol."""
     WRONG_ANSWER = "wrong_answer"
-    """An answer to another request, of another shard or of another snapshot."""
+    """The answer was for another request, shard or snapshot."""
 
 
 NOT_RUN_FAULTS = frozenset(
@@ -63,17 +63,17 @@
         AttemptFault.VERSION_GONE,
     )
 )
-"""Faults after which it is certain that the attempt did not run."""
+"""Faults that guarantee that the attempt did not run."""
 
 
 class ShardAnswer(NamedTuple):
-    """A server's answer to one shard request, checked for its form."""
+    """A server's well-formed answer to a shard request."""
 
     request_id: str
-    """The echo of the shard request's id."""
+    """The shard request's id as echoed by the server."""
     shard: str
     snapshot: Snapshot
-    """What the server says it read."""
+    """The snapshot that the server reports to have read."""
     rows: list[Any]
     """The rows found, in the shard's order."""
     load: LoadReport | None
@@ -84,23 +84,23 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryArrived:
-    """A caller's request has been read whole."""
+    """A caller's request has been received completely."""
 
     query: int
-    """A number that no other request at this entry ever has."""
+    """The request's number, unique at this entry for good."""
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller closed its connection before it had its answer."""
+    """The caller closed its connection before it received an answer."""
 
     query: int
 
 
 @dataclass(slots=True)
 class ShardAnswered:
-    """An attempt's answer arrived; not frozen for the same reason as ``SendShard``."""
+    """An attempt's answer arrived. Not frozen, for the same reason as ``SendShard``."""
 
     attempt: int
     answer: ShardAnswer
@@ -108,12 +108,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailed:
-    """An attempt came to nothing."""
+    """An attempt failed."""
 
     attempt: int
     fault: AttemptFault
     retry_after_ms: Millis | None = None
-    """When the server wants to be asked again, if it said so."""
+    """The server's retry-after time, if it sent one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,11 +133,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Woke:
-    """The time of the last ``WakeAt`` has come."""
+    """The time of the last ``WakeAt`` has been reached."""
 
 
 class ServerState(StrEnum):
-    """What a server's health endpoint says; a hint that can lag or mislead."""
+    """The state reported by a server's health endpoint; it can be outdated or wrong."""
 
     READY = "ready"
     STARTING = "starting"
@@ -148,21 +148,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReported:
-    """A server's health endpoint was read."""
+    """A server's health endpoint was probed."""
 
     server_id: str
     state: ServerState
     load: LoadReport | None
     boot_id: str | None
-    """Changes with each start of the server; None if it does not say."""
+    """Changes with each start of the server; None if not reported."""
     asked_at: Millis | None = None
-    """When the endpoint was asked; None if that is not known. An answer can be older than what was
-    seen since."""
+    """When the probe was sent; None if unknown. The answer can be older than what has been observed
+    since."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServersLeaving:
-    """Which servers some source says are leaving; each source's word replaces its earlier one."""
+    """The servers that a source reports as leaving; replaces that source's earlier report."""
 
     source: str
     """``platform`` or ``control``."""
@@ -174,42 +174,43 @@
     """The entry's lease was renewed."""
 
     serve_until: Millis
-    """The point in time after which no new request is taken, unless it is renewed before."""
+    """The time after which no new request is accepted unless the lease is renewed."""
     shares: Mapping[str, int]
-    """How many connections this entry may hold to each server, by server id."""
+    """The number of connections that this entry may hold to each server, by server id."""
     quarantined: frozenset[str]
-    """Fingerprints of requests that no upstream may be sent."""
+    """Fingerprints of requests that must not be sent to any upstream."""
     connections: Mapping[str, int] | None = None
-    """How many connections this entry itself may hold, where that differs: a server that others
-    own is reached through them, and ``shares`` says how many requests may be out there."""
+    """The number of connections that this entry itself may hold, where it differs from ``shares``:
+    a server owned by other entries is reached through them, and ``shares`` then bounds the requests
+    in flight."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetsChanged:
-    """The budgets that hold for the whole tier are others."""
+    """The tier-wide budgets have changed."""
 
     hedge: float
-    """The most hedges that any rule may send, as a fraction of its shard requests."""
+    """The maximum of hedges for any rule, as a fraction of its shard requests."""
     retry: float
-    """Retries of each upstream, as a fraction of its shard requests."""
+    """The retry budget of each upstream, as a fraction of its shard requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The entry takes no new request from now on; what runs goes on to its end."""
+    """The entry accepts no new requests from now on; running requests are completed."""
 
 
 class Claim(StrEnum):
-    """What the run ledger answered to a claim."""
+    """The run ledger's answer to a claim."""
 
     GRANTED = "granted"
-    """The claim is on a majority of disks; the request may be sent, once."""
+    """The claim is stored on a majority of disks; the request may be sent once."""
     DONE = "done"
-    """It ran before; the stored outcome comes along."""
+    """The request has already run; its stored outcome is included."""
     IN_PROGRESS = "in_progress"
     OUTCOME_UNKNOWN = "outcome_unknown"
     ID_REUSED = "id_reused"
-    """The id was used before with another body."""
+    """The id was already used with another body."""
     ID_TOO_OLD = "id_too_old"
     UNAVAILABLE = "unavailable"
     """No majority answered in time; the claim may be recorded, but nothing was sent."""
@@ -222,7 +223,7 @@
     query: int
     claim: Claim
     stored: bytes | None = None
-    """The stored outcome's bytes, as ``RecordOutcome`` gave them, for ``done``."""
+    """For ``done``, the stored outcome as encoded in ``RecordOutcome``."""
 
 
 EntryEvent: TypeAlias = (
@@ -249,12 +250,12 @@
 class SendShard:
     """Send a shard request to a server.
 
-    It is not frozen because one is made for each shard request, and a frozen one takes about 2 µs
-    longer to make. Nothing changes it.
+    Not frozen, because an instance is created for each shard request and creating a frozen one
+    takes about 2 µs longer. It must not be modified.
     """
 
     attempt: int
-    """A number that no other attempt of this entry has."""
+    """The attempt's number, unique at this entry."""
     request_id: str
     """The id that the answer must echo."""
     upstream: str
@@ -262,33 +263,33 @@
     shard: str
     snapshot: Snapshot
     deadline: Millis
-    """The point in time after which the answer is of no use."""
+    """The time after which the answer is useless."""
     request: Request
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Close an attempt's exchange; whatever still comes of it is dropped."""
+    """Abort an attempt; an answer that still arrives is discarded."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Send ``Woke`` at this point in time; a later ``WakeAt`` replaces it."""
+    """Send ``Woke`` at this time; replaces any earlier ``WakeAt``."""
 
     at: Millis
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRun:
-    """Claim a request that may not be repeated in the run ledger; ``ClaimDecided`` follows."""
+    """Claim a non-idempotent request in the run ledger; ``ClaimDecided`` follows."""
 
     query: int
     caller: str
     request_id: str
     fingerprint: str
-    """A hash of the body; the same id with another one is refused."""
+    """A hash of the body; reuse of the id with another body is refused."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -301,12 +302,12 @@
     ran: Ran
     """``not_run`` releases the claim, so that a resend may run."""
     outcome: bytes
-    """The outcome in the core's own encoding; empty unless it ran."""
+    """The outcome as encoded by the core; empty unless the request ran."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportCrash:
-    """Tell control that a request was running on a server which then crashed."""
+    """Report to control that a request was running on a server when it crashed."""
 
     fingerprint: str
     server_id: str
@@ -315,10 +316,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeServer:
-    """Read a server's health endpoint now, without waiting for the next poll.
+    """Probe a server's health endpoint now, without waiting for the next poll.
 
-    A connection to it was lost while a request ran. Whether the server crashed shows in its health
-    report: another boot id, or ``unreachable`` if it takes no connection.
+    A connection to it was lost while a request ran. The health report shows whether the server
+    crashed: its boot id has changed, or it is ``unreachable`` because it refuses connections.
     """
 
     server_id: str
@@ -326,13 +327,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchShardMap:
-    """Fetch an upstream's shard map now: a server no longer has the snapshot that is known."""
+    """Fetch an upstream's shard map now, because a server no longer has the known snapshot."""
 
     upstream: str
 
 
 class MissingShard(NamedTuple):
-    """A shard that an answer does not cover, with the reason."""
+    """A shard that an answer does not cover, and why."""
 
     shard: str
     reason: str
@@ -340,14 +341,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A request's answer, with what it truly covers."""
+    """A request's answer with its actual coverage."""
 
     snapshot: Snapshot
     coverage: float
-    """The fraction of the snapshot's documents that the answer reflects."""
+    """The fraction of the snapshot's documents that the answer covers."""
     missing: tuple[MissingShard, ...]
     rows: list[Any]
-    """The rows of all shards in the map's order of shards."""
+    """The rows of all shards, in the order of shards in the map."""
     rule: str
     revision: int
 
@@ -366,7 +367,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Give a caller its answer. It comes exactly once for each query, unless its caller left."""
+    """Return the outcome to the caller; exactly once per query, unless the caller disconnected."""
 
     query: int
     outcome: Outcome
--- a/src/alderhatch/core/request.py
+++ b/src/alderhatch/core/request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the core sees it."""
+"""A caller's request as the core represents it."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request, parsed and checked, before a rule has been found for it."""
+    """A parsed and validated request that has not been matched to a rule yet."""
 
     request_id: str
-    """The caller's id; together with ``caller`` it names a request that may not be repeated."""
+    """The caller's id; with ``caller`` it identifies a non-idempotent request."""
     caller: str
     kind: str
-    """The caller's word for what this is, such as ``conflict-check``; rules match on it."""
+    """The caller's name for the kind of request, such as ``conflict-check``; rules match on it."""
     upstream: str
     """The name of the upstream that holds the indexes."""
     body: bytes
-    """The query as JSON, passed on to the shards as it is."""
+    """The query as JSON, forwarded to the shards unchanged."""
     idempotent: bool = True
     """False for a dispatch or booking, which runs at most once."""
     priority: Priority = Priority.NORMAL
-    """What the caller asks for; a rule may decide otherwise."""
+    """The priority the caller asks for; a rule may override it."""
     zone: str = ""
-    """The caller's availability zone, empty if it did not say."""
+    """The caller's availability zone; empty if not given."""
     deadline_ms: Millis | None = None
-    """The span within which the caller wants the answer, if it said one."""
+    """The time within which the caller wants the answer; None if not given."""
     key: str = ""
-    """What a request that may not be repeated is about, such as a room; it decides the shard that
-    runs it. Empty: the request id decides."""
+    """The subject of a non-idempotent request, such as a room; it selects the shard that runs it.
+    If empty, the request id selects the shard."""
     headers: Mapping[str, str] = field(default_factory=dict)
     """Header fields with lower-case names."""
--- a/src/alderhatch/core/state_dump.py
+++ b/src/alderhatch/core/state_dump.py
@@ -1,4 +1,4 @@
-"""The core's state as plain data, for the dump that an operator asks for."""
+"""The core's state as plain data, for the operators' dump."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     from .arrival import ArrivalHandler
 
 MAX_ITEMS = 500
-"""The most servers, requests or bodies that one dump lists of each."""
+"""The maximum number of servers, requests or bodies listed in one dump."""
 
 
 def dump_state(
     state: CoreState, arrival: ArrivalHandler, dispatcher: Dispatcher, now: Millis
 ) -> dict[str, Any]:
-    """Return what the core knows as maps, lists, numbers and strings."""
+    """Return the core's state as maps, lists, numbers and strings."""
     lease = arrival.serve_until
     return {
         "revision": state.revision,
@@ -39,7 +39,8 @@
             for rule, budget in list(state.hedges.items())[:MAX_ITEMS]
         },
         "upstreams": {
-            name: _upstream(view, arrival, now) for name, view in state.servers.upstreams.items()
+            name: _dump_upstream(view, arrival, now)
+            for name, view in state.servers.upstreams.items()
         },
         "requests": [
             {
@@ -56,7 +57,7 @@
     }
 
 
-def _upstream(view: UpstreamView, arrival: ArrivalHandler, now: Millis) -> dict[str, Any]:
+def _dump_upstream(view: UpstreamView, arrival: ArrivalHandler, now: Millis) -> dict[str, Any]:
     limiter = arrival.admission.limiters.get(view.name)
     snapshot = view.shard_map.snapshot if view.shard_map is not None else None
     servers = list(view.servers.values())[:MAX_ITEMS]
@@ -72,11 +73,11 @@
         "waiting": 0 if limiter is None else len(limiter.waiting),
         "server_queue": 0.0 if limiter is None else round(limiter.queue, 3),
         "holds_lower_classes_back": limiter is not None and limiter.overloaded,
-        "servers": {server.server_id: _server(server, now) for server in servers},
+        "servers": {server.server_id: _dump_server(server, now) for server in servers},
     }
 
 
-def _server(server: ServerView, now: Millis) -> dict[str, Any]:
+def _dump_server(server: ServerView, now: Millis) -> dict[str, Any]:
     return {
         "zone": server.server.zone,
         "in_flight": server.in_flight,
