--- a/src/alderhatch/core/crash_detector.py
+++ b/src/alderhatch/core/crash_detector.py
@@ -220,7 +220,7 @@
 
     def blocked_fingerprints(self, now: Millis) -> Iterable[str]:
         """Return the fingerprints of bodies that this entry refuses by its own observations."""
-        return [body for body in self._blocks if self.block_time_left(body, now) is not None]
+        return [entry for entry in self._blocks if self.block_time_left(entry, now) is not None]
 
 
 def _put_bounded(table: OrderedDict[str, T], key: str, value: T) -> None:
