--- a/src/alderhatch/core/admission.py
+++ b/src/alderhatch/core/admission.py
@@ -132,9 +132,9 @@
         if run.rank == 0:
             self.open_urgent -= units
         rule = run.rule.name
-        left = self.open_by_rule.get(rule, 0) - units
-        if left > 0:
-            self.open_by_rule[rule] = left
+        remaining = self.open_by_rule.get(rule, 0) - units
+        if remaining > 0:
+            self.open_by_rule[rule] = remaining
         else:
             self.open_by_rule.pop(rule, None)
 
@@ -216,8 +216,8 @@
             low, high = policy.lower_queue_low, policy.lower_queue_high
         if self.queue > high:
             # A host that is short of processor time measures long latencies even if the servers
-            # are idle. Without reported overload the limit therefore keeps the higher minimum;
-            # otherwise lower classes would be refused in quiet hours.
+            # are idle. Without overload reported by servers the limit therefore keeps the higher
+            # ``min_limit``; otherwise lower classes would be refused in quiet hours.
             minimum = policy.min_lower_limit if self.overloaded else policy.min_limit
             self.limit = max(minimum, self.limit * policy.limit_shrink)
         elif self.queue < low:
--- a/src/alderhatch/core/arrival.py
+++ b/src/alderhatch/core/arrival.py
@@ -44,7 +44,7 @@
         """When the lease ends; None if the entry runs without control hosts."""
 
     @property
-    def lease_is_over(self) -> bool:
+    def is_lease_expired(self) -> bool:
         """Whether the lease has expired, so that new requests are refused."""
         return self.serve_until is not None and self._state.now >= self.serve_until
 
@@ -56,7 +56,7 @@
                 query, None, ErrorKind.STOPPING, "entry is stopping and takes no new requests"
             )
             return
-        if self.lease_is_over:
+        if self.is_lease_expired:
             message = "entry lease expired: no renewal from control"
             core.refuse(query, None, ErrorKind.LEASE_EXPIRED, message)
             return
@@ -168,7 +168,7 @@
 
     def _start_queued(self, limiter: UpstreamLimiter, run: Run) -> None:
         core = self._state
-        if self.lease_is_over:
+        if self.is_lease_expired:
             run.ended = True
             core.runs.pop(run.query, None)
             message = "entry lease expired while the request was queued"
--- a/src/alderhatch/core/crash_detector.py
+++ b/src/alderhatch/core/crash_detector.py
@@ -18,8 +18,9 @@
 CONFIRM_WINDOW_MS: Millis = 5 * SECOND
 """A refused connection within this time after a lost connection confirms a crash."""
 RESTART_WINDOW_MS: Millis = 60 * SECOND
-"""A restart within this time after a lost connection confirms a crash, unless the same process was
-seen alive in between. It is long because a busy entry may read the server's health seconds late."""
+"""A restart within this time after a lost connection confirms a crash. It is long because a busy
+entry may read the server's health seconds late. If the same process was seen alive after the loss,
+``CONFIRM_WINDOW_MS`` applies instead."""
 PROVISIONAL_BLOCK_MS: Millis = 5 * SECOND
 """How long a body is refused after two losses that are not yet confirmed as crashes."""
 MAX_FINGERPRINTS = 4096
--- a/src/alderhatch/core/dispatcher.py
+++ b/src/alderhatch/core/dispatcher.py
@@ -21,7 +21,7 @@
 from .timers import TimerKind
 
 NO_EXCLUSIONS: frozenset[str] = frozenset()
-MAX_COPY_LOAD_PER_SLOT = 1.0
+MAX_HEDGE_LOAD_PER_SLOT = 1.0
 """Load per slot below which a hedge may go to a server that already runs the shard request."""
 
 
@@ -110,7 +110,7 @@
             server = self._choose_server(run, shard, NO_EXCLUSIONS, False)
             # A straggler is often specific to one execution, so the same server may be faster the
             # second time. On a server with a queue the hedge would only lengthen the queue.
-            if server is None or server.load(now) >= MAX_COPY_LOAD_PER_SLOT * server.slots:
+            if server is None or server.load(now) >= MAX_HEDGE_LOAD_PER_SLOT * server.slots:
                 return False
         shard.hedges += 1
         self._send_to(run, shard, server, snapshot, True, False)
