--- a/features/steps/core_any_order_steps.py
+++ b/features/steps/core_any_order_steps.py
@@ -28,7 +28,7 @@
 from features.support.core_harness import CoreHarness, make_map
 
 FAULTS = list(AttemptFault)
-STEPS = st.lists(
+EVENT_STEPS = st.lists(
     st.tuples(
         st.sampled_from(
             ["query"] * 4
@@ -41,65 +41,67 @@
     ),
     max_size=60,
 )
-SMALL = Policy(queue=4, min_limit=2.0, batch_share=0.3, normal_share=0.6)
+SMALL_POLICY = Policy(queue=4, min_limit=2.0, batch_share=0.3, normal_share=0.6)
 
 
-def take_step(core, kind, pick, state):
+def apply_step(core, kind, number, state):
     out = list(core.out)
-    attempt = out[pick % len(out)] if out else None
-    server_id = f"ix-{pick % 4}-{pick % 2}"
+    attempt = out[number % len(out)] if out else None
+    server_id = f"ix-{number % 4}-{number % 2}"
     match kind:
         case "query":
             core.arrive(
-                priority=list(Priority)[pick % 3],
-                deadline_ms=float(20 + pick),
-                body=b'{"t":%d}' % (pick % 5),
+                priority=list(Priority)[number % 3],
+                deadline_ms=float(20 + number),
+                body=b'{"t":%d}' % (number % 5),
             )
         case "dispatch":
-            core.arrive(idempotent=False, key=f"k{pick}")
+            core.arrive(idempotent=False, key=f"k{number}")
         case "claim" if core.claims:
-            query = core.claims[pick % len(core.claims)].query
-            core.feed(ClaimDecided(query, list(Claim)[pick % len(Claim)]))
+            query = core.claims[number % len(core.claims)].query
+            core.feed(ClaimDecided(query, list(Claim)[number % len(Claim)]))
         case "answer" if attempt:
-            core.answer(attempt, load=LoadReport(pick % 4, pick % 3))
+            core.answer(attempt, load=LoadReport(number % 4, number % 3))
         case "crossed" if attempt:
             core.answer(attempt, shard="s9")
         case "fault" if attempt:
-            core.fail(attempt, FAULTS[pick % len(FAULTS)], float(pick))
+            core.fail(attempt, FAULTS[number % len(FAULTS)], float(number))
         case "time":
-            core.advance(pick / 5.0)
+            core.advance(number / 5.0)
         case "gone":
-            query = pick % (core.next_query + 1)
+            query = number % (core.next_query + 1)
             if query not in core.finished:
                 state["left"].add(query)
             core.feed(CallerGone(query))
         case "map":
-            state["version"] += pick % 2
+            state["version"] += number % 2
             core.feed(ShardMapFetched(make_map(version=state["version"])))
         case "health":
-            health = list(ServerState)[pick % 4]
-            core.feed(HealthReported(server_id, health, LoadReport(pick % 9, 0), f"b{pick % 3}"))
+            server_state = list(ServerState)[number % 4]
+            core.feed(
+                HealthReported(server_id, server_state, LoadReport(number % 9, 0), f"b{number % 3}")
+            )
         case "leaving":
-            core.feed(ServersLeaving("platform", frozenset([server_id][: pick % 2])))
+            core.feed(ServersLeaving("platform", frozenset([server_id][: number % 2])))
         case "lease":
-            shares = {f"ix-{s}-{r}": pick % 4 for s in range(4) for r in range(2)}
-            core.feed(LeaseChanged(core.now + pick, shares, frozenset()))
-        case "stop" if pick > 900:
+            shares = {f"ix-{s}-{r}": number % 4 for s in range(4) for r in range(2)}
+            core.feed(LeaseChanged(core.now + number, shares, frozenset()))
+        case "stop" if number > 900:
             core.feed(StopRequested())
 
 
-@then("each request has one true answer and nothing is left behind, for any order of events")
+@then("each request has one correct answer and no state is left, for any order of events")
 def step_any_order(context):
     @settings(max_examples=300)
-    @given_any(STEPS, st.integers(0, 5))
+    @given_any(EVENT_STEPS, st.integers(0, 5))
     def check(steps, seed):
-        core = CoreHarness(make_map(), Serve(retries=2), SMALL, seed=seed)
+        core = CoreHarness(make_map(), Serve(retries=2), SMALL_POLICY, seed=seed)
         state = {"version": 1, "left": set()}
-        for kind, pick in steps:
-            take_step(core, kind, pick, state)
+        for kind, number in steps:
+            apply_step(core, kind, number, state)
         core.advance(200_000.0)
-        wanted = set(range(1, core.next_query + 1)) - state["left"]
-        assert wanted <= set(core.finished), wanted - set(core.finished)
+        expected = set(range(1, core.next_query + 1)) - state["left"]
+        assert expected <= set(core.finished), expected - set(core.finished)
         core.check_not_run()
         for outcome in core.finished.values():
             if isinstance(outcome, Answered):
@@ -115,7 +117,7 @@
     check()
 
 
-@then("the core's dump is plain data and stays bounded with 2000 requests under way")
+@then("the core's dump is plain data and stays bounded with 2000 running requests")
 def step_dump_bounded(context):
     core = CoreHarness(make_map(slots=4000), Serve())
     for _ in range(2000):
@@ -142,12 +144,12 @@
     core.arrive()
     slow = dict(core.out)
     core.out.clear()
-    seen = []
+    run_refs = []
     for _ in range(50):
         query = core.arrive()
-        seen.append(weakref.ref(core.core._state.runs[query]))
+        run_refs.append(weakref.ref(core.core._state.runs[query]))
         core.now += 1.0
         core.answer_all()
-    assert slow and len(core.finished) == len(seen)
-    held = sum(ref() is not None for ref in seen)
-    assert held == 0, held
+    assert slow and len(core.finished) == len(run_refs)
+    held_count = sum(ref() is not None for ref in run_refs)
+    assert held_count == 0, held_count
--- a/features/steps/core_crash_steps.py
+++ b/features/steps/core_crash_steps.py
@@ -25,12 +25,12 @@
 from features.support.core_harness import CoreHarness, make_map, make_request
 
 LEASE_MS = ControlSettings.model_fields["lease_ms"].default
-DEADLY = b'{"topic":"deadly"}'
-STEP = 1.0
+CRASHING_BODY = b'{"topic":"crashing"}'
+STEP_MS = 1.0
 
 
 class CrashTier:
-    """Entries over one set of servers, of which a deadly body crashes each that runs it."""
+    """Entries over a shared set of servers; a crashing body crashes each server that runs it."""
 
     def __init__(self, entries, shards):
         self.map = make_map(shards, replicas=4 if shards == 1 else 2, slots=10)
@@ -41,20 +41,20 @@
         for index, core in enumerate(self.cores):
             core.core._state.name = f"e{index}"
         self.rng = Random(5)
-        self.boots = {server.server_id: 1 for server in self.map.servers}
+        self.boot_numbers = {server.server_id: 1 for server in self.map.servers}
         self.crashed = []
         self.down = set()
         self.reports = []
-        self.suspects = {}
-        self.due = {}
+        self.crashed_servers_by_fingerprint = {}
+        self.answer_due_at = {}
         self.queries = {}
         for core in self.cores:
-            for server_id in self.boots:
-                self.health(core, server_id)
+            for server_id in self.boot_numbers:
+                self.report_health(core, server_id)
 
-    def health(self, core, server_id):
+    def report_health(self, core, server_id):
         state = ServerState.UNREACHABLE if server_id in self.down else ServerState.READY
-        boot = None if server_id in self.down else f"b{self.boots[server_id]}"
+        boot = None if server_id in self.down else f"b{self.boot_numbers[server_id]}"
         core.feed(HealthReported(server_id, state, None, boot, core.now))
 
     def arrive(self, entry, body):
@@ -65,15 +65,15 @@
         core.feed(QueryArrived(query, request))
         self.queries.setdefault(body, []).append((entry, query))
 
-    def run(self, span, crash_after=2.0):
-        for _ in range(int(span / STEP)):
+    def run_for(self, span, crash_after=2.0):
+        for _ in range(int(span / STEP_MS)):
             for core in self.cores:
-                core.advance(STEP)
+                core.advance(STEP_MS)
             for index, core in enumerate(self.cores):
-                self.serve(index, core, crash_after)
-            self.control()
+                self.answer_attempts(index, core, crash_after)
+            self.run_control()
 
-    def serve(self, index, core, crash_after):
+    def answer_attempts(self, index, core, crash_after):
         for attempt, send in list(core.out.items()):
             if attempt not in core.out:
                 continue
@@ -81,12 +81,12 @@
                 core.fail(attempt, AttemptFault.NOT_SENT)
                 continue
             key = (index, attempt)
-            if key not in self.due:
-                span = crash_after if send.request.body == DEADLY else self.rng.uniform(1, 6)
-                self.due[key] = core.now + span
-            if core.now < self.due[key]:
+            if key not in self.answer_due_at:
+                span = crash_after if send.request.body == CRASHING_BODY else self.rng.uniform(1, 6)
+                self.answer_due_at[key] = core.now + span
+            if core.now < self.answer_due_at[key]:
                 continue
-            if send.request.body == DEADLY:
+            if send.request.body == CRASHING_BODY:
                 self.crash(send.server_id)
                 continue
             del core.out[attempt]
@@ -102,54 +102,58 @@
                     del core.out[attempt]
                     core.feed(AttemptFailed(attempt, AttemptFault.LOST))
 
-    def control(self):
-        """Answer probes, count crash reports by server, and push quarantines."""
+    def run_control(self):
+        """Answer probes, collect crash reports by fingerprint, and push quarantines to entries."""
         for core in self.cores:
             effects, core.effects = core.effects, []
             for effect in effects:
                 if isinstance(effect, ProbeServer):
-                    self.health(core, effect.server_id)
+                    self.report_health(core, effect.server_id)
                 if isinstance(effect, ReportCrash):
                     self.reports.append(effect)
         for core in self.cores:
             effects, core.effects = core.effects, []
             self.reports += [effect for effect in effects if isinstance(effect, ReportCrash)]
         for report in self.reports:
-            self.suspects.setdefault(report.fingerprint, set()).add(report.server_id)
-        held = frozenset(f for f, s in self.suspects.items() if len(s) >= CRASH_LIMIT)
+            self.crashed_servers_by_fingerprint.setdefault(report.fingerprint, set()).add(
+                report.server_id
+            )
+        quarantined = frozenset(
+            f for f, s in self.crashed_servers_by_fingerprint.items() if len(s) >= CRASH_LIMIT
+        )
         for core in self.cores:
-            core.feed(LeaseChanged(1e9, {}, held))
+            core.feed(LeaseChanged(1e9, {}, quarantined))
 
     def restart_all(self):
         for server_id in self.down:
-            self.boots[server_id] += 1
+            self.boot_numbers[server_id] += 1
         restarted, self.down = self.down, set()
         for core in self.cores:
             for server_id in restarted:
-                self.health(core, server_id)
+                self.report_health(core, server_id)
 
     def outcomes(self, body):
         return [self.cores[e].finished.get(q) for e, q in self.queries[body]]
 
 
-@given("crash cores of {entries:d} entry over {shards:d} shard")
-@given("crash cores of {entries:d} entry over {shards:d} shards")
-@given("crash cores of {entries:d} entries over {shards:d} shards")
+@given("a tier of {entries:d} entry over {shards:d} shard whose servers can crash")
+@given("a tier of {entries:d} entry over {shards:d} shards whose servers can crash")
+@given("a tier of {entries:d} entries over {shards:d} shards whose servers can crash")
 def step_crash_tier(context, entries, shards):
     context.tier = CrashTier(entries, shards)
 
 
-@when("a deadly query arrives at crash entry {entry:d}")
-def step_deadly(context, entry):
-    context.tier.arrive(entry - 1, DEADLY)
-    context.tier.run(100)
+@when("a crashing query arrives at tier entry {entry:d}")
+def step_crashing_query(context, entry):
+    context.tier.arrive(entry - 1, CRASHING_BODY)
+    context.tier.run_for(100)
 
 
-@when("it is sent again at crash entries 2, 3 and 1")
-def step_deadly_again(context):
+@when("it is resent to tier entries 2, 3 and 1")
+def step_resend_crashing(context):
     for entry in (1, 2, 0):
-        context.tier.arrive(entry, DEADLY)
-        context.tier.run(20)
+        context.tier.arrive(entry, CRASHING_BODY)
+        context.tier.run_for(20)
 
 
 @then("{count:d} servers have crashed")
@@ -157,79 +161,79 @@
     assert len(context.tier.crashed) == count, context.tier.crashed
 
 
-@then("its caller is told upstream_failed, not to be sent again")
-def step_told_failed(context):
-    failure = context.tier.outcomes(DEADLY)[0].failure
+@then("its caller gets upstream_failed and must not resend it")
+def step_caller_gets_failed(context):
+    failure = context.tier.outcomes(CRASHING_BODY)[0].failure
     assert failure.kind == "upstream_failed" and failure.answer.resend == "never", failure
-    # The quarantine is in force at every entry with a lease by then.
+    # After this time the quarantine is in force at every entry that holds a lease.
     assert failure.retry_after_ms >= 1.1 * LEASE_MS, failure
 
 
 @then("its resends are refused as quarantined")
 def step_resends_refused(context):
-    for outcome in context.tier.outcomes(DEADLY)[1:]:
+    for outcome in context.tier.outcomes(CRASHING_BODY)[1:]:
         assert outcome.failure.kind == "quarantined", outcome
 
 
-def harmless(number):
+def harmless_body(number):
     return b'{"topic":"harmless-%d"}' % number
 
 
-@when("20 harmless queries and a deadly one run at the same time")
-def step_harmless_and_deadly(context):
+@when("20 harmless queries and a crashing one run at the same time")
+def step_harmless_and_crashing(context):
     tier = context.tier
     for number in range(20):
-        tier.arrive(0, harmless(number))
+        tier.arrive(0, harmless_body(number))
         if number == 5:
-            tier.arrive(0, DEADLY)
-    tier.run(300)
+            tier.arrive(0, CRASHING_BODY)
+    tier.run_for(300)
 
 
-@when("a zone is lost under 20 harmless queries")
+@when("a zone is lost while 20 harmless queries run")
 def step_zone_lost(context):
     tier = context.tier
     for number in range(20):
-        tier.arrive(0, harmless(number))
+        tier.arrive(0, harmless_body(number))
     for server in tier.map.servers:
         if server.zone == "zone-a":
             tier.crash(server.server_id)
-    tier.run(300)
+    tier.run_for(300)
 
 
 @then("all harmless queries are answered in full")
 def step_harmless_full(context):
     for number in range(20):
-        (outcome,) = context.tier.outcomes(harmless(number))
+        (outcome,) = context.tier.outcomes(harmless_body(number))
         assert isinstance(outcome, Answered) and outcome.coverage == 1.0, outcome
 
 
-@then("no harmless body is refused when it comes again")
-def step_harmless_again(context):
+@then("no harmless body is refused when it is resent")
+def step_resend_harmless(context):
     tier = context.tier
     tier.restart_all()
     for number in range(20):
-        tier.arrive(0, harmless(number))
-        tier.run(20)
+        tier.arrive(0, harmless_body(number))
+        tier.run_for(20)
     for number in range(20):
-        outcome = tier.outcomes(harmless(number))[-1]
+        outcome = tier.outcomes(harmless_body(number))[-1]
         assert isinstance(outcome, Answered), outcome
 
 
-@when("a harmless query's connection is lost and the server says that it runs on")
-def step_lost_no_crash(context):
+@when("a harmless query's connection is lost and the server is still the same process")
+def step_lost_connection(context):
     tier = context.tier
-    tier.arrive(0, harmless(0))
+    tier.arrive(0, harmless_body(0))
     (core,) = tier.cores
     attempt, send = next(iter(core.out.items()))
     core.fail(attempt, AttemptFault.LOST)
-    tier.health(core, send.server_id)
-    tier.run(100)
+    tier.report_health(core, send.server_id)
+    tier.run_for(100)
 
 
-@then("nothing was reported as a crash")
+@then("no crash was reported")
 def step_no_reports(context):
     assert not context.tier.reports
-    (outcome,) = context.tier.outcomes(harmless(0))
+    (outcome,) = context.tier.outcomes(harmless_body(0))
     assert isinstance(outcome, Answered)
 
 
@@ -238,7 +242,7 @@
     context.core = CoreHarness(make_map(shards), Serve(hedge=0), Policy())
 
 
-@when("the servers of all shards but {one} and {other} report queues there")
+@when("the servers of all shards but {one} and {other} report queues at the core")
 def step_queues_but(context, one, other):
     busy = LoadReport(2, 10)
     for shard in make_map(8).shards:
@@ -247,19 +251,19 @@
                 context.core.feed(HealthReported(server_id, ServerState.READY, busy, "b1"))
 
 
-@when("a new body arrives there")
-@when("the same body arrives there again")
+@when("a new body arrives at the core")
+@when("the same body arrives at the core again")
 def step_new_body(context):
     context.sent_before = len(context.core.sent)
     context.core.arrive(body=b"{}")
 
 
-@then("{count:d} shards of it are out")
+@then("{count:d} of its shards are in flight")
 def step_shards_out(context, count):
     assert len(context.core.out) == count, context.core.out
 
 
-@then("just the shards {one} and {other} of it are out")
+@then("only its shards {one} and {other} are in flight")
 def step_just_shards_out(context, one, other):
     assert {send.shard for send in context.core.out.values()} == {one, other}, context.core.out
 
@@ -269,50 +273,50 @@
     context.core.answer(next(iter(context.core.out)))
 
 
-@then("all {count:d} shards of it are out or answered")
-@then("{count:d} further shards are out")
+@then("all {count:d} of its shards are in flight or answered")
+@then("{count:d} further shards are in flight")
 def step_all_shards_out(context, count):
     sent = context.core.sent[context.sent_before :]
     assert len(sent) == count and len({send.shard for send in sent}) == count, sent
 
 
-@when("a harmless query loses its first two connections to servers that run on")
+@when("a harmless query loses its first two connections to servers that keep running")
 def step_two_lost(context):
     tier = context.tier
-    tier.arrive(0, harmless(0))
+    tier.arrive(0, harmless_body(0))
     (core,) = tier.cores
     for _ in range(2):
         (attempt,) = list(core.out)[:1]
         core.fail(attempt, AttemptFault.LOST)
-    tier.run(300)
+    tier.run_for(300)
 
 
 @then("that query is answered in full")
 def step_answered_in_full(context):
-    (outcome,) = context.tier.outcomes(harmless(0))
+    (outcome,) = context.tier.outcomes(harmless_body(0))
     assert isinstance(outcome, Answered) and outcome.coverage == 1.0, outcome
 
 
-@when("a query loses its connections and probes that were sent before are answered after that")
+@when("a query loses its connections and then answers to earlier probes arrive")
 def step_stale_probes(context):
     tier = context.tier
     (core,) = tier.cores
     asked_at = core.now
-    core.advance(STEP)
-    tier.arrive(0, DEADLY)
-    context.lost = 0
+    core.advance(STEP_MS)
+    tier.arrive(0, CRASHING_BODY)
+    context.lost_count = 0
     for _ in range(1000):
-        core.advance(STEP)
+        core.advance(STEP_MS)
         if not core.out:
             continue
         attempt, send = next(iter(core.out.items()))
         core.fail(attempt, AttemptFault.LOST)
-        context.lost += 1
-        boot = f"b{tier.boots[send.server_id]}"
+        context.lost_count += 1
+        boot = f"b{tier.boot_numbers[send.server_id]}"
         core.feed(HealthReported(send.server_id, ServerState.READY, None, boot, asked_at))
 
 
-@then("{count:d} connections were lost at most by that query")
+@then("that query has lost at most {count:d} connections")
 def step_lost_at_most(context, count):
-    assert 1 <= context.lost <= count, context.lost
-    assert context.tier.outcomes(DEADLY)[-1] is not None
+    assert 1 <= context.lost_count <= count, context.lost_count
+    assert context.tier.outcomes(CRASHING_BODY)[-1] is not None
--- a/features/steps/core_once_steps.py
+++ b/features/steps/core_once_steps.py
@@ -39,7 +39,7 @@
     assert len(context.core.out) == 1
 
 
-@when('the ledger answers "{claim}"')
+@when('the ledger answers the claim with "{claim}"')
 def step_ledger_answers(context, claim):
     context.core.feed(ClaimDecided(context.dispatch, Claim(claim)))
 
@@ -70,8 +70,8 @@
     context.core.advance(61_000.0)
 
 
-@when("its caller leaves and it goes on")
-def step_caller_left(context):
+@when("its caller disconnects and it continues")
+def step_caller_disconnects(context):
     core = context.core
     core.feed(CallerGone(context.dispatch))
     if not core.sent:
@@ -80,7 +80,7 @@
     assert context.dispatch not in core.finished
 
 
-@when("it is answered and sent again with the same id")
+@when("it is answered and resent with the same id")
 def step_resend(context):
     core = context.core
     core.answer_all()
@@ -98,23 +98,23 @@
     assert len(core.sent) == 1
 
 
-@then("{count:d} attempts of the dispatch are out")
-def step_dispatch_out(context, count):
+@then("{count:d} attempts of the dispatch are in flight")
+def step_dispatch_in_flight(context, count):
     assert len(context.core.out) == count, context.core.out
 
 
 @then("{count:d} attempts of the dispatch were ever sent")
-def step_dispatch_ever(context, count):
+def step_dispatch_sent_count(context, count):
     assert len(context.core.sent) == count, context.core.sent
 
 
-@then('its caller is told "{told}"')
-def step_caller_told(context, told):
+@then('its caller gets "{expected}"')
+def step_caller_gets(context, expected):
     outcome = context.core.finished.get(context.dispatch)
-    if told == "nothing yet":
+    if expected == "nothing yet":
         assert outcome is None, outcome
         return
-    assert outcome.failure.kind == told, outcome
+    assert outcome.failure.kind == expected, outcome
     context.core.check_not_run()
 
 
@@ -124,9 +124,9 @@
     assert records == ([] if recorded == "nothing" else [recorded]), records
 
 
-@then("dispatches of one key go to one shard and all shards get some, at any entry")
+@then("dispatches with one key go to one shard and every shard gets some, at any entry")
 def step_key_shard(context):
-    seen = set()
+    all_shards = set()
     for number in range(60):
         shards = set()
         for seed in (1, 2):
@@ -135,8 +135,8 @@
             core.feed(ClaimDecided(query, Claim.GRANTED))
             shards.add(core.sent[0].shard)
         assert len(shards) == 1, shards
-        seen |= shards
-    assert len(seen) == 4, seen
+        all_shards |= shards
+    assert len(all_shards) == 4, all_shards
 
 
 EVENTS = st.lists(
@@ -162,8 +162,8 @@
 FAULTS = list(AttemptFault)
 
 
-@then("no dispatch is ever with two servers that may run it, for any order of events")
-def step_once_differential(context):
+@then("at most one server may ever have run a dispatch, for any order of events")
+def step_at_most_once(context):
     @settings(max_examples=400)
     @given_any(EVENTS, st.booleans(), st.integers(0, 3))
     def check(events, granted, seed):
@@ -199,7 +199,9 @@
                 case "claim":
                     core.feed(ClaimDecided(query, list(Claim)[pick % len(Claim)]))
             assert len(core.out) <= 1
-            assert len(may_have_run) + len(core.out) <= 1, "a second server may run it"
+            assert (
+                len(may_have_run) + len(core.out) <= 1
+            ), "a second server may have run the dispatch"
         core.advance(120_000.0)
         assert not core.out
         assert len(core.records) <= 1, core.records
--- a/features/support/core_harness.py
+++ b/features/support/core_harness.py
@@ -1,4 +1,4 @@
-"""Drives an entry core by hand on a clock of its own."""
+"""A test harness that drives an entry core step by step with a simulated clock."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
     shards=4, replicas=2, version=1, epoch=1, documents=10, slots=2, connections=30, upstream="ix"
 ):
     servers = []
-    listed = []
+    listed_shards = []
     for shard in range(shards):
         ids = [f"{upstream}-{shard}-{replica}" for replica in range(replicas)]
         weight = documents[shard] if isinstance(documents, list) else documents
-        listed.append(Shard(f"s{shard}", weight, tuple(ids)))
+        listed_shards.append(Shard(f"s{shard}", weight, tuple(ids)))
         for replica, server_id in enumerate(ids):
             zone = ZONES[(shard + replica) % len(ZONES)]
             servers.append(Server(server_id, "127.0.0.1", 1, zone, slots, connections))
-    return ShardMap(upstream, Snapshot(version, epoch), tuple(listed), tuple(servers))
+    return ShardMap(upstream, Snapshot(version, epoch), tuple(listed_shards), tuple(servers))
 
 
 def make_request(number=1, **fields):
@@ -61,7 +61,7 @@
 
 
 class CoreHarness:
-    """An entry core with the list of what it has sent and answered."""
+    """An entry core that records the effects it returns."""
 
     def __init__(self, shard_map=None, serve=None, policy=None, zone="zone-a", seed=1):
         self.policy = policy or Policy(canaries=0)
@@ -69,9 +69,9 @@
         self.now = 0.0
         self.wake = None
         self.out = {}
-        """Attempts that are out, by number."""
+        """Attempts in flight, by number."""
         self.sent = []
-        """Every SendShard, in order."""
+        """Every ``SendShard``, in order."""
         self.attempts_of = {}
         self.faults = {}
         self.finished = {}
@@ -110,7 +110,7 @@
                 case WakeAt(at=at):
                     self.wake = at
                 case Finish(query=query, outcome=outcome):
-                    assert query not in self.finished, "a second answer to the same query"
+                    assert query not in self.finished, "the query was answered twice"
                     self.finished[query] = outcome
                 case ClaimRun():
                     self.claims.append(effect)
@@ -124,8 +124,8 @@
         self.feed(QueryArrived(self.next_query, request))
         return self.next_query
 
-    def advance(self, span):
-        until = self.now + span
+    def advance(self, elapsed_ms):
+        until = self.now + elapsed_ms
         while self.wake is not None and self.wake <= until:
             self.now = max(self.now, self.wake)
             self.wake = None
@@ -159,15 +159,15 @@
         return [number for number, send in self.out.items() if send.shard == shard]
 
     def check_not_run(self):
-        """Check that whoever was told "not run" was told the truth."""
-        requests = {}
+        """Check that no attempt of a request answered as "not run" may have run."""
+        attempts_by_request = {}
         for effect in self.effects:
             if isinstance(effect, SendShard):
-                requests.setdefault(effect.request.request_id, []).append(effect.attempt)
+                attempts_by_request.setdefault(effect.request.request_id, []).append(effect.attempt)
         for query, outcome in self.finished.items():
             if isinstance(outcome, Answered) or outcome.failure.answer.ran is not Ran.NOT_RUN:
                 continue
-            for attempt in requests.get(f"r{query}", []):
+            for attempt in attempts_by_request.get(f"r{query}", []):
                 assert self.faults.get(attempt) in NOT_RUN_FAULTS, (query, outcome)
 
 
