--- a/bench/capacity_control_host.py
+++ b/bench/capacity_control_host.py
@@ -53,7 +53,7 @@
         """Return true."""
         return True
 
-    def heard_from(self) -> frozenset[str]:
+    def responsive_members(self) -> frozenset[str]:
         """Return the only member."""
         return frozenset((NAME,))
 
--- a/features/steps/raft_steps.py
+++ b/features/steps/raft_steps.py
@@ -471,7 +471,7 @@
     cluster = context.raft
     host = cluster.leader()
     for _ in range(100):
-        heard = host.node.heard_from(cluster._clock(host))
+        heard = host.node.responsive_members(cluster._clock(host))
         assert context.lost not in heard, heard
         cluster.run(1)
     assert len(heard) == len(cluster.hosts) - 1, heard
--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -95,7 +95,9 @@
     if log.snapshot:
         text = folder.read_snapshot(log.snapshot)
         assert text == b"state %d" % snapshot_index, text
-    found = {entry.index: entry for entry in log.between(log.base_index + 1, log.last_index)}
+    found = {
+        entry.index: entry for entry in log.entries_between(log.base_index + 1, log.last_index)
+    }
     for entries in (known.entries, known.next_entries):
         wanted = {index: one for index, one in entries.items() if index > snapshot_index}
         if found == wanted:
@@ -484,7 +486,7 @@
     assert log.snapshot.index == context.snapshot_index
     assert folder.read_snapshot(log.snapshot) == b"state %d" % context.snapshot_index
     assert log.last_index == context.count
-    assert log.between(context.count, context.count) == (_entry(context.count),)
+    assert log.entries_between(context.count, context.count) == (_entry(context.count),)
 
 
 @then("the storage folder holds 1 snapshot and at most {count:d} segments")
--- a/features/support/memory_log.py
+++ b/features/support/memory_log.py
@@ -43,7 +43,7 @@
     def holds_lease(self):
         return self.leads
 
-    def heard_from(self):
+    def responsive_members(self):
         return frozenset(self.members) if self.leads else frozenset()
 
     def caught_up(self, name):
--- a/features/support/raft_checks.py
+++ b/features/support/raft_checks.py
@@ -103,7 +103,7 @@
             node = host.node
             if node is None or node.role is not Role.LEADER:
                 continue
-            entries = node.log.between(node.commit_index + 1, node.log.last_index)
+            entries = node.log.entries_between(node.commit_index + 1, node.log.last_index)
             kinds = [one.kind for one in entries if one.index not in self._committed]
             if kinds.count(EntryKind.MEMBERSHIP) > 1:
                 raise Violation(f"{host.member.member_id} has two membership changes under way")
--- a/features/support/raft_cluster.py
+++ b/features/support/raft_cluster.py
@@ -32,9 +32,9 @@
     Propose,
     ReadBarrier,
     Received,
+    SnapshotCorrupted,
     SnapshotInstalled,
     SnapshotSaved,
-    SnapshotSpoilt,
     StorageFailed,
     Tick,
 )
@@ -276,9 +276,9 @@
         heapq.heappush(self._events, _Event(self.now + delay, next(self._order), kind, args))
 
     def _schedule_tick(self, host: Host) -> None:
-        if host.node is None or host.node.wake_at == NEVER:
+        if host.node is None or host.node.next_tick_at == NEVER:
             return
-        at = max(host.node.wake_at / host.clock_rate, self.now) + 0.01
+        at = max(host.node.next_tick_at / host.clock_rate, self.now) + 0.01
         if at < host.tick_at:
             host.tick_at = at
             self._later(at - self.now, "tick", host, host.life)
@@ -429,7 +429,7 @@
         if isinstance(effect, InstallSnapshot) and (
             sha256(data).hexdigest() != effect.snapshot.checksum
         ):
-            self._step(host, SnapshotSpoilt(effect.snapshot))
+            self._step(host, SnapshotCorrupted(effect.snapshot))
             return
         if isinstance(effect, InstallSnapshot):
             self._checks.on_install(host, effect.snapshot)
@@ -508,7 +508,7 @@
             last = min(one.last_index, other.last_index)
             while last > first and one.term_at(last) != other.term_at(last):
                 last -= 1
-            if one.between(first + 1, last) != other.between(first + 1, last):
+            if one.entries_between(first + 1, last) != other.entries_between(first + 1, last):
                 raise Violation("two logs have the same end but differ before it")
 
     def settle(self) -> None:
--- a/src/alderhatch/control/_log_driver.py
+++ b/src/alderhatch/control/_log_driver.py
@@ -109,18 +109,18 @@
             nursery.start_soon(self._writer.run)
             while True:
                 await self._sleep()
-                if self._clock.now() >= self.node.wake_at:
+                if self._clock.now() >= self.node.next_tick_at:
                     self.step(Tick())
 
     async def _sleep(self) -> None:
         self._woken = trio.Event()
-        self._sleeps_until = self.node.wake_at
+        self._sleeps_until = self.node.next_tick_at
         span = max(self._sleeps_until - self._clock.now(), 0.0)
         with trio.move_on_after(span / SECOND):
             await self._woken.wait()
 
     def _wake(self) -> None:
-        if self.node.wake_at < self._sleeps_until:
+        if self.node.next_tick_at < self._sleeps_until:
             self._woken.set()
 
     # Events
--- a/src/alderhatch/control/_log_links.py
+++ b/src/alderhatch/control/_log_links.py
@@ -13,7 +13,7 @@
 
 from ..clock import SECOND, LoopClock, Millis
 from ..codec import Codec
-from ..core.raft.messages import REPLIES, Message, TimeoutNow
+from ..core.raft.messages import REPLY_TYPES, Message, TimeoutNow
 from ..link import Link, LinkClosedError, Peer, open_link
 from ..log import log_event
 from ..log_events import LogEvent
@@ -145,7 +145,7 @@
 
     def send(self, to: str, message: Message) -> None:
         """Send a message to a member, or drop it if there is no link."""
-        if isinstance(message, REPLIES):
+        if isinstance(message, REPLY_TYPES):
             outbox = self._accepted.get(to)
             if outbox is not None:
                 outbox.put(message)
@@ -202,7 +202,7 @@
                 remote.unanswered_since = None
                 if isinstance(message, PeerHelloReply):
                     self._met(remote, message, link, nursery)
-                elif remote.member_id and isinstance(message, REPLIES):
+                elif remote.member_id and isinstance(message, REPLY_TYPES):
                     self._handlers.on_message(remote.member_id, message)
         except LinkClosedError:
             nursery.cancel_scope.cancel()
@@ -304,7 +304,7 @@
         return True
 
     def _is_question(self, message: Any) -> bool:
-        return not isinstance(message, (PeerHelloReply, *REPLIES))
+        return not isinstance(message, (PeerHelloReply, *REPLY_TYPES))
 
     async def _receive_accepted(self, link: Link) -> Any:
         with trio.move_on_after(_SILENT_PROBES * self._cfg.probe / SECOND):
--- a/src/alderhatch/control/_log_members.py
+++ b/src/alderhatch/control/_log_members.py
@@ -125,7 +125,7 @@
             return True
         # What it has acknowledged stays when it goes. With a vote it would only make the majority
         # larger, and beside the voter that it replaces no other could be spared.
-        if member.member_id not in node.heard_from(self._clock.now()):
+        if member.member_id not in node.responsive_members(self._clock.now()):
             return False
         lag = node.commit_index - node.match_index(member.member_id)
         return lag <= self._cfg.raft.max_lag_to_promote
--- a/src/alderhatch/control/_log_writer.py
+++ b/src/alderhatch/control/_log_writer.py
@@ -14,9 +14,9 @@
 from ..core.raft.events import (
     Event,
     Persisted,
+    SnapshotCorrupted,
     SnapshotInstalled,
     SnapshotSaved,
-    SnapshotSpoilt,
     StorageFailed,
 )
 from ..storage.data_folder import DataFolder, LogWrite
@@ -104,7 +104,7 @@
             case InstallSnapshot(snapshot):
                 self._queue.popleft()
                 whole = await self._call(lambda: self._folder.install_snapshot(snapshot))
-                event = SnapshotInstalled(snapshot) if whole else SnapshotSpoilt(snapshot)
+                event = SnapshotInstalled(snapshot) if whole else SnapshotCorrupted(snapshot)
                 self._on_event(event)
             case other:
                 assert_never(other)
--- a/src/alderhatch/control/_operator_changes.py
+++ b/src/alderhatch/control/_operator_changes.py
@@ -133,7 +133,7 @@
         timeout = timeout_parameter(call.req)
         leadership = leading(self._host)
         status = self._host.log.status()
-        heard = self._host.log.heard_from() | {status.host}
+        heard = self._host.log.responsive_members() | {status.host}
         down = [voter for voter in status.voters if voter not in heard]
         change = Change(
             body.change_id,
--- a/src/alderhatch/control/control_log.py
+++ b/src/alderhatch/control/control_log.py
@@ -14,7 +14,7 @@
     def holds_lease(self) -> bool:
         """Return whether this host certainly is the only leader at this moment."""
 
-    def heard_from(self) -> frozenset[str]:
+    def responsive_members(self) -> frozenset[str]:
         """Return the members that this leader has heard from lately; empty if it is none."""
 
     def caught_up(self, name: str) -> bool:
--- a/src/alderhatch/control/log_node.py
+++ b/src/alderhatch/control/log_node.py
@@ -210,13 +210,13 @@
         now = self._clock.now()
         return now < self._driver.node.lease_until(now)
 
-    def heard_from(self) -> frozenset[str]:
+    def responsive_members(self) -> frozenset[str]:
         """Return the names of the members that this leader has heard from lately, itself included.
 
         A follower returns an empty set.
         """
         node = self._driver.node
-        heard = node.heard_from(self._clock.now())
+        heard = node.responsive_members(self._clock.now())
         return frozenset(one.name for one in node.membership.members if one.member_id in heard)
 
     def status(self) -> LogStatus:
--- a/src/alderhatch/core/raft/_leadership.py
+++ b/src/alderhatch/core/raft/_leadership.py
@@ -71,7 +71,7 @@
             return 0.0
         return self._quorum_time(now) + self._state.cfg.lease
 
-    def heard_from(self, now: Millis) -> frozenset[str]:
+    def responsive_members(self, now: Millis) -> frozenset[str]:
         """Return the members, this one included, that answered within an election timeout.
 
         One that has not answered this leader yet is not among them. Counted as well for the first
--- a/src/alderhatch/core/raft/_member_state.py
+++ b/src/alderhatch/core/raft/_member_state.py
@@ -144,7 +144,7 @@
         if index <= self.commit_index:
             return
         self.commit_index = index
-        entries = self.log.between(self.applied_index + 1, index)
+        entries = self.log.entries_between(self.applied_index + 1, index)
         self.applied_index = index
         self._applied_bytes += sum(entry.size for entry in entries)
         self.emit(Apply(entries))
@@ -191,7 +191,7 @@
         if self._is_dirty:
             self._number += 1
             first = self._dirty_from
-            entries = () if first is None else self.log.between(first, self.log.last_index)
+            entries = () if first is None else self.log.entries_between(first, self.log.last_index)
             hard_state = self.hard_state if self._hard_state_dirty else None
             self.emit(Persist(self._number, hard_state, entries))
             self._writes.append(_Write(self._number, self.log.last_index))
--- a/src/alderhatch/core/raft/effects.py
+++ b/src/alderhatch/core/raft/effects.py
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """Put the received snapshot on disk, then tell ``SnapshotInstalled`` or ``SnapshotSpoilt``.
+    """Put the received snapshot on disk, then tell ``SnapshotInstalled`` or ``SnapshotCorrupted``.
 
     The journal forgets all its entries, and goes on behind the snapshot.
     """
--- a/src/alderhatch/core/raft/events.py
+++ b/src/alderhatch/core/raft/events.py
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SnapshotSpoilt:
+class SnapshotCorrupted:
     """A received snapshot did not have its checksum and was thrown away."""
 
     snapshot: SnapshotMeta
@@ -138,6 +138,6 @@
     | Persisted
     | SnapshotSaved
     | SnapshotInstalled
-    | SnapshotSpoilt
+    | SnapshotCorrupted
     | StorageFailed
 )
--- a/src/alderhatch/core/raft/messages.py
+++ b/src/alderhatch/core/raft/messages.py
@@ -124,7 +124,7 @@
     | TimeoutNow
 )
 
-REPLIES = (PreVoteReply, VoteReply, AppendReply, HeartbeatReply, SnapshotReply)
+REPLY_TYPES = (PreVoteReply, VoteReply, AppendReply, HeartbeatReply, SnapshotReply)
 """The messages that go back over the link on which the question came."""
 
 
--- a/src/alderhatch/core/raft/raft_log.py
+++ b/src/alderhatch/core/raft/raft_log.py
@@ -54,7 +54,7 @@
             return self._entries[index - self.base_index - 1].term
         return None
 
-    def between(self, first: int, last: int) -> tuple[LogEntry, ...]:
+    def entries_between(self, first: int, last: int) -> tuple[LogEntry, ...]:
         """Return the entries from ``first`` to ``last``, both included."""
         start = first - self.base_index - 1
         return tuple(self._entries[max(start, 0) : max(last - self.base_index, 0)])
--- a/src/alderhatch/core/raft/raft_node.py
+++ b/src/alderhatch/core/raft/raft_node.py
@@ -19,9 +19,9 @@
     Propose,
     ReadBarrier,
     Received,
+    SnapshotCorrupted,
     SnapshotInstalled,
     SnapshotSaved,
-    SnapshotSpoilt,
     StorageFailed,
     Tick,
     TransferLeadership,
@@ -154,16 +154,16 @@
         """Return until when this member is certainly the only leader; 0 if it is none."""
         return self._leadership.lease_until(now) if self._leadership else 0.0
 
-    def heard_from(self, now: Millis) -> frozenset[str]:
+    def responsive_members(self, now: Millis) -> frozenset[str]:
         """Return the members that this leader has heard from lately; empty if it is none."""
-        return self._leadership.heard_from(now) if self._leadership else frozenset()
+        return self._leadership.responsive_members(now) if self._leadership else frozenset()
 
     def match_index(self, peer: str) -> int:
         """Return the last index that a peer has acknowledged to this leader; 0 if it is none."""
         return self._leadership.match_index(peer) if self._leadership else 0
 
     @property
-    def wake_at(self) -> Millis:
+    def next_tick_at(self) -> Millis:
         """When the next ``Tick`` is due."""
         if self._failure is not None:
             return NEVER
@@ -209,7 +209,7 @@
                 self._state.on_snapshot_saved(snapshot)
             case SnapshotInstalled(snapshot):
                 self._receiver.on_installed(snapshot)
-            case SnapshotSpoilt(snapshot):
+            case SnapshotCorrupted(snapshot):
                 self._receiver.on_spoilt(snapshot)
             case StorageFailed(reason):
                 self._on_storage_failed(reason)
--- a/src/alderhatch/node/voter_keeper.py
+++ b/src/alderhatch/node/voter_keeper.py
@@ -54,7 +54,7 @@
     def _next(self, log: LogNode) -> Step | None:
         now = self._clock.now()
         membership = log.membership
-        heard = log.heard_from()
+        heard = log.responsive_members()
         for member in membership.members:
             if member.name in heard or member.name not in self._heard_at:
                 self._heard_at[member.name] = now
