--- a/src/alderhatch/core/raft/__init__.py
+++ b/src/alderhatch/core/raft/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log of the control hosts, as a state machine without input or output."""
+"""Raft consensus for the replicated log of the control hosts, as a state machine without I/O."""
--- a/src/alderhatch/core/raft/_election.py
+++ b/src/alderhatch/core/raft/_election.py
@@ -1,4 +1,4 @@
-"""Standing for election, in two rounds."""
+"""Leader election with a pre-vote round."""
 
 from __future__ import annotations
 
@@ -9,69 +9,69 @@
 class Election:
     """One attempt to become the leader.
 
-    The first round only asks whether the second would be won. A host that was cut off for a long
-    time would otherwise raise its term again and again, and on its return force the whole cluster
-    into an election although the leader is well.
+    The pre-vote round only asks whether the election would be won, and raises no term. Without it,
+    a partitioned host would raise its term with every election timeout, and on its return depose a
+    healthy leader.
     """
 
     def __init__(self, state: MemberState, transfer: bool) -> None:
         self._state = state
         self._transfer = transfer
         self._granted: set[str] = set()
-        self._vote_number = 0
+        self._vote_write_number = 0
         self.is_pre_vote = not transfer
-        """Whether this is still the first round."""
+        """Whether this is still the pre-vote round."""
         if transfer:
-            self._ask_votes()
+            self._request_votes()
         else:
-            self._ask_pre_votes()
+            self._request_pre_votes()
 
-    def _ask_pre_votes(self) -> None:
+    def _request_pre_votes(self) -> None:
         state = self._state
         self._granted = {state.member_id}
         log = state.log
         for peer in self._peers():
             state.send(peer, PreVote(state.term + 1, log.last_index, log.last_term))
 
-    def _ask_votes(self) -> None:
+    def _request_votes(self) -> None:
         state = self._state
         self.is_pre_vote = False
         self._granted = set()
         state.set_hard_state(state.term + 1, state.member_id)
-        self._vote_number = state.issued_number
+        self._vote_write_number = state.latest_write_number
         log = state.log
         request = Vote(state.term, log.last_index, log.last_term, self._transfer)
         for peer in self._peers():
             state.send_persisted(peer, request)
 
     def _peers(self) -> list[str]:
-        own = self._state.member_id
-        return [one for one in self._state.membership.voter_ids if one != own]
+        own_id = self._state.member_id
+        return [voter_id for voter_id in self._state.membership.voter_ids if voter_id != own_id]
 
     def on_pre_vote_granted(self, sender: str, term: int) -> None:
-        """Count a pre-vote."""
+        """Count a granted pre-vote."""
         if self.is_pre_vote and term == self._state.term + 1:
             self._granted.add(sender)
 
     def on_vote_granted(self, sender: str) -> None:
-        """Count a vote."""
+        """Count a granted vote."""
         if not self.is_pre_vote:
             self._granted.add(sender)
 
     def on_persisted(self) -> None:
-        """Count this member's own vote once it is on disk."""
-        if not self.is_pre_vote and self._state.persisted_number >= self._vote_number:
+        """Count this member's vote for itself once it is on disk."""
+        if not self.is_pre_vote and self._state.persisted_write_number >= self._vote_write_number:
             self._granted.add(self._state.member_id)
 
     def advance(self) -> bool:
-        """Go from the first round to the second if a majority would vote for this member.
+        """Request votes if a majority has granted a pre-vote.
 
         Returns:
-            Whether the second round has begun just now.
+            Whether this call has started the vote round.
         """
         if not (self.is_pre_vote and self._has_majority):
             return False
-        self._ask_votes()
+        self._request_votes()
         return True
 
     @property
@@ -82,5 +82,5 @@
     @property
     def _has_majority(self) -> bool:
         voters = self._state.membership.voter_ids
-        count = sum(1 for one in voters if one in self._granted)
+        count = sum(1 for voter_id in voters if voter_id in self._granted)
         return count >= self._state.membership.majority
--- a/src/alderhatch/core/raft/_log_follower.py
+++ b/src/alderhatch/core/raft/_log_follower.py
@@ -1,4 +1,4 @@
-"""How a member takes entries from its leader."""
+"""Handling of append messages in a follower or learner."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 class LogFollower:
-    """Makes this member's log the same as its leader's."""
+    """Replicates the leader's log into the log of this member."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
 
     def on_append(self, sender: str, message: Append) -> None:
-        """Take the entries if they follow on what is here, or tell where to go back to."""
+        """Store the entries if the logs match before them; reply with a hint otherwise."""
         state = self._state
         log = state.log
         prev_index = message.prev_index
-        is_covered = prev_index < log.base_index
-        if not is_covered and log.term_at(prev_index) != message.prev_term:
-            hint = self._where_logs_may_match(prev_index)
+        is_compacted = prev_index < log.base_index
+        if not is_compacted and log.term_at(prev_index) != message.prev_term:
+            hint = self._conflict_hint(prev_index)
             state.send(sender, AppendReply(state.term, False, prev_index, hint))
             return
         for entry in message.entries:
-            self._take(entry)
+            self._merge_entry(entry)
         last = prev_index + len(message.entries)
         state.commit_to(min(message.commit, last))
         match_index = max(last, log.base_index)
         state.send_persisted(sender, AppendReply(state.term, True, prev_index, match_index))
 
-    def _where_logs_may_match(self, prev_index: int) -> int:
+    def _conflict_hint(self, prev_index: int) -> int:
         log = self._state.log
         term = log.term_at(prev_index)
         if term is None:
@@ -40,13 +40,13 @@
             index -= 1
         return index
 
-    def _take(self, entry: LogEntry) -> None:
+    def _merge_entry(self, entry: LogEntry) -> None:
         log = self._state.log
         if entry.index <= log.base_index:
             return
-        known = log.term_at(entry.index)
-        if known == entry.term:
+        known_term = log.term_at(entry.index)
+        if known_term == entry.term:
             return
-        if known is not None:
+        if known_term is not None:
             self._state.truncate_from(entry.index)
         self._state.append_entry(entry)
--- a/src/alderhatch/core/raft/_progress.py
+++ b/src/alderhatch/core/raft/_progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one peer's log, and how much it may send to it."""
+"""Replication progress of one peer, as its leader tracks it."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Mode(StrEnum):
-    """How entries get to a peer."""
+    """How the leader replicates to a peer."""
 
     PROBE = "probe"
-    """The matching index is being looked for; one message at a time."""
+    """The leader searches for the matching index, with one append in flight."""
     REPLICATE = "replicate"
-    """Messages follow one another without waiting, up to a limit."""
+    """Appends are pipelined, up to a maximum number in flight."""
     SNAPSHOT = "snapshot"
-    """The peer is too far behind for the entries in memory."""
+    """The peer needs entries that are no longer in memory, and receives a snapshot."""
 
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """A snapshot on its way to a peer, one piece at a time."""
+    """A snapshot that is sent to a peer, one chunk at a time."""
 
     snapshot: SnapshotMeta
     offset: int
@@ -32,24 +32,24 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One peer as its leader sees it."""
+    """Replication state of one peer."""
 
     next_index: int
-    """The first entry that is to be sent next."""
+    """The index of the next entry to send."""
     acked_at: Millis
-    """When the newest heartbeat round that it answered was sent; counts for the lease."""
+    """When the latest heartbeat round that it confirmed was sent; extends the lease."""
     match_index: int = 0
-    """The last index that is known to be on its disk and the same as the leader's."""
+    """The last index up to which its log on disk is known to match the leader's."""
     mode: Mode = Mode.PROBE
     acked_round: int = 0
     probe_until: Millis = 0.0
-    """While probing, no other probe is sent before this time unless an answer comes."""
+    """While probing, the time before which no other probe is sent unless a reply arrives."""
     inflight: deque[tuple[int, Millis]] = field(default_factory=deque)
-    """The last index and the time of each append that is not answered yet."""
+    """The last index and the send time of each unacknowledged append."""
     transfer: SnapshotTransfer | None = None
 
     def become_probe(self) -> None:
-        """Look for the matching index anew."""
+        """Restart the search for the matching index."""
         self.mode = Mode.PROBE
         self.next_index = self.match_index + 1
         self.probe_until = 0.0
@@ -57,10 +57,10 @@
         self.transfer = None
 
     def on_match(self, index: int) -> bool:
-        """Note an acknowledged index.
+        """Record an acknowledged index.
 
         Returns:
-            Whether it is news.
+            Whether it raises the matching index.
         """
         while self.inflight and self.inflight[0][0] <= index:
             self.inflight.popleft()
@@ -76,11 +76,11 @@
         return True
 
     def on_mismatch(self, prev_index: int, hint: int) -> None:
-        """Go back after the peer refused an append.
+        """Move the next index back after the peer rejected an append.
 
         Args:
-            prev_index: The refused append's; an answer to an older append is no news.
-            hint: From where the peer thinks that the logs may match.
+            prev_index: That of the rejected append; replies to outdated appends are ignored.
+            hint: The next index that the peer suggests.
         """
         if prev_index <= self.match_index or self.mode is Mode.SNAPSHOT:
             return
@@ -90,7 +90,7 @@
         self.next_index = max(self.match_index + 1, min(prev_index, hint))
 
     def is_overdue(self, now: Millis, retry: Millis) -> bool:
-        """Return whether an append or a piece of a snapshot seems to be lost."""
+        """Return whether an append or a snapshot chunk has not been acknowledged in time."""
         if self.transfer is not None:
             return now - self.transfer.sent_at >= retry
         return bool(self.inflight) and now - self.inflight[0][1] >= retry
--- a/src/alderhatch/core/raft/_replicator.py
+++ b/src/alderhatch/core/raft/_replicator.py
@@ -1,4 +1,4 @@
-"""How a leader gets its log to its peers: appends with flow control, or a snapshot in pieces."""
+"""Log replication to peers: appends with flow control, or a snapshot in chunks."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class Replicator:
-    """Sends to every peer what it lacks, as far as flow control allows."""
+    """Sends each peer the entries or the snapshot that it lacks, within flow control."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
         self.progress: dict[str, Progress] = {}
-        """The peers by their identities."""
+        """The progress of each peer, by member ID."""
 
     def replicate_all(self, now: Millis) -> None:
-        """Send to each peer what it lacks and may be sent now."""
+        """Send each peer what it lacks, as far as flow control allows."""
         for peer in self.progress:
             self.replicate(peer, now)
 
     def replicate(self, peer: str, now: Millis) -> None:
-        """Send to one peer what it lacks and may be sent now."""
+        """Send one peer what it lacks, as far as flow control allows."""
         progress = self.progress[peer]
         match progress.mode:
             case Mode.PROBE:
@@ -36,7 +36,7 @@
     def _probe(self, peer: str, progress: Progress, now: Millis) -> None:
         if now < progress.probe_until:
             return
-        if self._lacks_base(progress):
+        if self._needs_snapshot(progress):
             self._begin_snapshot(peer, progress, now)
             return
         progress.probe_until = now + self._state.cfg.retry
@@ -46,14 +46,14 @@
         cfg = self._state.cfg
         last = self._state.log.last_index
         while progress.next_index <= last and len(progress.inflight) < cfg.max_inflight:
-            if self._lacks_base(progress):
+            if self._needs_snapshot(progress):
                 self._begin_snapshot(peer, progress, now)
                 return
-            sent_to = self._send_append(peer, progress.next_index)
-            progress.inflight.append((sent_to, now))
-            progress.next_index = sent_to + 1
+            last_sent = self._send_append(peer, progress.next_index)
+            progress.inflight.append((last_sent, now))
+            progress.next_index = last_sent + 1
 
-    def _lacks_base(self, progress: Progress) -> bool:
+    def _needs_snapshot(self, progress: Progress) -> bool:
         return progress.next_index <= self._state.log.base_index
 
     def _send_append(self, peer: str, first: int) -> int:
@@ -67,15 +67,15 @@
         return first - 1 + len(entries)
 
     def retry_overdue(self, now: Millis) -> None:
-        """Send anew what was not acknowledged for too long."""
-        busy = False
+        """Resend what was not acknowledged in time."""
+        in_transfer = False
         for peer, progress in self.progress.items():
             if progress.is_overdue(now, self._state.cfg.retry):
                 self._retry(peer, progress, now)
-            busy = busy or self._is_receiving(progress, now)
-        self._state.keep_snapshot = busy
+            in_transfer = in_transfer or self._is_receiving_snapshot(progress, now)
+        self._state.snapshot_in_transfer = in_transfer
 
-    def _is_receiving(self, progress: Progress, now: Millis) -> bool:
+    def _is_receiving_snapshot(self, progress: Progress, now: Millis) -> bool:
         limit = now - 2 * self._state.cfg.election_timeout
         return progress.transfer is not None and progress.acked_at > limit
 
@@ -90,11 +90,11 @@
     def _begin_snapshot(self, peer: str, progress: Progress, now: Millis) -> None:
         snapshot = self._state.log.snapshot
         if snapshot is None:
-            raise RuntimeError("a log without a snapshot starts at its first entry")
+            raise RuntimeError("the log lacks entries but has no snapshot")
         progress.mode = Mode.SNAPSHOT
         progress.inflight.clear()
         progress.transfer = SnapshotTransfer(snapshot, 0, now)
-        self._state.keep_snapshot = True
+        self._state.snapshot_in_transfer = True
         self._send_chunk(peer, progress.transfer, now)
 
     def _send_chunk(self, peer: str, transfer: SnapshotTransfer, now: Millis) -> None:
@@ -105,7 +105,7 @@
         )
 
     def on_snapshot_reply(self, peer: str, reply: SnapshotReply, now: Millis) -> None:
-        """Send the next piece, or go on with entries once the snapshot is in use."""
+        """Send the next chunk, or resume appends once the snapshot is installed."""
         progress = self.progress[peer]
         transfer = progress.transfer
         if transfer is None or reply.index != transfer.snapshot.index:
@@ -118,8 +118,8 @@
         if transfer.snapshot != self._state.log.snapshot:
             self._begin_snapshot(peer, progress, now)
             return
-        # A late answer to an earlier piece must not turn the transfer back: each would then be
-        # answered by a piece, and the pieces would multiply.
+        # A delayed reply to an earlier chunk must not move the transfer back: each such reply would
+        # trigger another chunk, and the duplicates would multiply.
         if reply.next_offset == transfer.offset:
             return
         if reply.next_offset >= transfer.snapshot.size and transfer.snapshot.size > 0:
--- a/src/alderhatch/core/raft/_snapshot_receiver.py
+++ b/src/alderhatch/core/raft/_snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""How a member takes a snapshot from its leader, piece by piece."""
+"""Reception of a snapshot from the leader, chunk by chunk."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SnapshotReceiver:
-    """Keeps track of the one snapshot that is being received."""
+    """Tracks the snapshot that is being received; there is at most one."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
@@ -20,19 +20,19 @@
 
     @property
     def is_installing(self) -> bool:
-        """Whether a whole snapshot is on its way to the disk; the log stands still until then."""
+        """Whether a complete snapshot is being installed; until then appends are ignored."""
         return self._installing
 
     def on_chunk(self, sender: str, chunk: SnapshotChunk) -> None:
-        """Take a piece, and tell the sender which one comes next.
+        """Store a chunk and reply with the offset of the next one.
 
-        The pieces of a snapshot that is known already are not asked for again after a broken link
-        or a new leader: the answer says where to go on.
+        After a broken link or a change of leader, the transfer of the same snapshot resumes at the
+        offset reached.
         """
         self._sender = sender
         if self._installing:
             return
-        if self._has_all_of(chunk.snapshot):
+        if self._is_already_covered(chunk.snapshot):
             self._state.commit_to(chunk.snapshot.index)
             self._reply(chunk.snapshot, installed=True)
             return
@@ -48,28 +48,28 @@
             return
         self._reply(chunk.snapshot, installed=False)
 
-    def _has_all_of(self, snapshot: SnapshotMeta) -> bool:
-        # A member that restarts doesn't know yet what is committed. If it went by its commit index
-        # alone, it would begin anew behind the snapshot and drop entries that it has acknowledged:
-        # a leader without them could be elected, and accepted changes would be gone.
+    def _is_already_covered(self, snapshot: SnapshotMeta) -> bool:
+        # After a restart the commit index starts low. Compared with it alone, the snapshot would be
+        # installed and would drop later entries that this member has acknowledged. A leader
+        # without them could then be elected, and accepted changes would be lost.
         state = self._state
         if snapshot.index <= state.commit_index:
             return True
         return state.log.term_at(snapshot.index) == snapshot.term
 
     def on_installed(self, snapshot: SnapshotMeta) -> None:
-        """Use the snapshot that is on disk now."""
-        self._forget()
+        """Switch to the snapshot that is now on disk."""
+        self._reset()
         self._state.on_snapshot_installed(snapshot)
         self._state.emit(RestoreState(snapshot))
         self._reply(snapshot, installed=True)
 
-    def on_spoilt(self, snapshot: SnapshotMeta) -> None:
-        """Ask for the snapshot from its beginning."""
-        self._forget()
+    def on_corrupted(self, snapshot: SnapshotMeta) -> None:
+        """Request the snapshot again from its start."""
+        self._reset()
         self._reply(snapshot, installed=False)
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._snapshot = None
         self._offset = 0
         self._installing = False
--- a/src/alderhatch/core/raft/effects.py
+++ b/src/alderhatch/core/raft/effects.py
@@ -1,4 +1,4 @@
-"""What a member of the replicated log wants done. Effects are carried out in their order."""
+"""Effects that a member of the replicated log requests, to be executed in order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Role(StrEnum):
-    """The part that a member plays now."""
+    """The current role of a member."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -21,19 +21,19 @@
 
 
 class Refusal(StrEnum):
-    """Why something asked of a member was not even begun."""
+    """Why a member refused a request without starting it."""
 
     NOT_LEADER = "not_leader"
     NOT_READY = "not_ready"
-    """The leader has not committed anything in its term yet, or another change is under way."""
+    """The leader has committed no entry of its term yet, or another change is uncommitted."""
     NOT_CAUGHT_UP = "not_caught_up"
     INVALID = "invalid"
-    """The change makes no sense with the present membership."""
+    """The request is not possible with the current membership."""
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a peer; it may get lost."""
+    """Send a message to a peer, without guaranteed delivery."""
 
     to: str
     message: Message
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendChunk:
-    """Send a piece of this host's snapshot as a ``SnapshotChunk``."""
+    """Send part of the snapshot on this host as a ``SnapshotChunk``."""
 
     to: str
     term: int
@@ -52,13 +52,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Put this on disk, then tell ``Persisted``.
+    """Write this to disk, then report ``Persisted``.
 
-    An entry replaces whatever is on disk at its index and behind it.
+    An entry replaces all entries on disk from its index on.
     """
 
     number: int
-    """Counts up; several may be put on disk together."""
+    """Increases with each effect; several effects may be written to disk together."""
     hard_state: HardState | None
     entries: tuple[LogEntry, ...]
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeSnapshot:
-    """Take the state as it is now, put it on disk, then tell ``SnapshotSaved``."""
+    """Write a snapshot of the current state to disk, then report ``SnapshotSaved``."""
 
     index: int
     term: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChunk:
-    """Keep a piece of a snapshot that is being received."""
+    """Store part of a snapshot that is being received."""
 
     snapshot: SnapshotMeta
     offset: int
@@ -90,9 +90,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """Put the received snapshot on disk, then tell ``SnapshotInstalled`` or ``SnapshotCorrupted``.
+    """Write the received snapshot to disk and report the result.
 
-    The journal forgets all its entries, and goes on behind the snapshot.
+    The result is ``SnapshotInstalled`` or ``SnapshotCorrupted``. The journal drops all its entries
+    and continues after the snapshot.
     """
 
     snapshot: SnapshotMeta
@@ -100,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoreState:
-    """Replace the state machine's state by that of the snapshot on disk."""
+    """Replace the state of the state machine by the snapshot on disk."""
 
     snapshot: SnapshotMeta
 
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """A proposal or a membership change has a place in the log, but is not committed yet."""
+    """A proposal or membership change was appended to the log, but is not committed yet."""
 
     tag: int
     index: int
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """What was asked has certainly not happened."""
+    """A request was refused and has had no effect."""
 
     tag: int
     refusal: Refusal
@@ -125,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read is linearizable once this index is applied."""
+    """A read is linearizable once the entry at this index is applied."""
 
     tag: int
     index: int
@@ -142,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChanged:
-    """The membership changed; it may be taken back while it is not committed."""
+    """The membership changed; the change can be rolled back until it is committed."""
 
     membership: Membership
 
--- a/src/alderhatch/core/raft/events.py
+++ b/src/alderhatch/core/raft/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a member of the replicated log."""
+"""Events that a member of the replicated log handles."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message came in."""
+    """A message from a peer arrived."""
 
     sender: str
     message: Message
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerConnected:
-    """A link to a peer was opened; whatever was on its way over an older one may be lost."""
+    """A link to a peer was opened; messages in flight on an earlier link may be lost."""
 
     peer: str
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A command with the tag under which its fate is told."""
+    """A command, with the tag that identifies it in ``Proposed`` and ``Refused``."""
 
     tag: int
     command: bytes
@@ -40,35 +40,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Commands to put on the log together."""
+    """Requests that commands are appended to the log together."""
 
     proposals: tuple[Proposal, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ReadBarrier:
-    """Asks for an index at which a read is linearizable."""
+    """Requests an index at which a read is linearizable."""
 
     tag: int
 
 
 @dataclass(frozen=True, slots=True)
 class AddLearner:
-    """A membership change: one learner more."""
+    """A membership change that adds a learner."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class Promote:
-    """A membership change: a learner that has caught up becomes a voter."""
+    """A membership change that makes a learner that has caught up a voter."""
 
     member_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Remove:
-    """A membership change: a member goes."""
+    """A membership change that removes a member."""
 
     member_id: str
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeMembership:
-    """Asks for one membership change."""
+    """Requests one membership change."""
 
     tag: int
     change: Change
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Asks the leader to hand over to the peer that is furthest on, or to the one named."""
+    """Asks the leader to transfer its leadership to a voter, by default the most advanced one."""
 
     tag: int
     target: str | None = None
@@ -101,28 +101,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotSaved:
-    """The state taken for a ``TakeSnapshot`` effect is on disk."""
+    """The snapshot of a ``TakeSnapshot`` effect is on disk."""
 
     snapshot: SnapshotMeta
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotInstalled:
-    """A received snapshot is whole, on disk, and the journal starts behind it."""
+    """A received snapshot is complete and on disk, and the journal starts after it."""
 
     snapshot: SnapshotMeta
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotCorrupted:
-    """A received snapshot did not have its checksum and was thrown away."""
+    """A received snapshot did not match its checksum and was discarded."""
 
     snapshot: SnapshotMeta
 
 
 @dataclass(frozen=True, slots=True)
 class StorageFailed:
-    """The disk is full or failed; nothing may be acknowledged from now on."""
+    """The disk is full or failed; from now on nothing may be acknowledged."""
 
     reason: str
 
--- a/src/alderhatch/core/raft/log_entry.py
+++ b/src/alderhatch/core/raft/log_entry.py
@@ -1,4 +1,4 @@
-"""What the replicated log consists of."""
+"""Entries, hard state and snapshot metadata of the replicated log."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from .membership import Membership
 
 ENTRY_OVERHEAD_BYTES = 64
-"""What an entry costs besides its command, on the wire and on disk, as an upper estimate."""
+"""Upper estimate of the bytes that an entry adds to its command, on the wire and on disk."""
 
 
 class EntryKind(IntEnum):
-    """What an entry stands for. The numbers are on disk and never change."""
+    """The kind of an entry. The values are stored on disk and never change."""
 
     NOOP = 0
-    """A new leader's first entry; when it commits, everything before it has committed."""
+    """The first entry of a new leader; committing it commits all entries before it."""
     COMMAND = 1
     MEMBERSHIP = 2
 
 
 class LogEntry(NamedTuple):
-    """One place of the log."""
+    """One entry of the log."""
 
     index: int  # type: ignore[assignment]
-    """The place, from 1 without gaps."""
+    """The position in the log, from 1 without gaps."""
     term: int
-    """The term of the leader that put it there."""
+    """The term of the leader that appended it."""
     kind: EntryKind
     command: bytes = b""
     membership: Membership | None = None
@@ -38,22 +38,22 @@
 
 
 class HardState(NamedTuple):
-    """What a member must never forget, besides its entries."""
+    """The state that a member must keep on disk besides its entries."""
 
     term: int = 0
     vote: str = ""
-    """Whom it voted for in that term; empty for nobody."""
+    """The ID of the member that it voted for in that term; empty if none."""
 
 
 class SnapshotMeta(NamedTuple):
-    """What is known of a snapshot without its bytes."""
+    """The description of a snapshot, without its data."""
 
     index: int  # type: ignore[assignment]
-    """The last entry that the snapshot includes."""
+    """The index of the last entry that the snapshot includes."""
     term: int
-    """That entry's term."""
+    """The term of that entry."""
     membership: Membership
     size: int
-    """How many bytes the state has."""
+    """The size of the data in bytes."""
     checksum: str
-    """The xxh3-128 of the bytes, in hexadecimal."""
+    """The xxh3-128 hash of the data, in hexadecimal."""
--- a/src/alderhatch/core/raft/membership.py
+++ b/src/alderhatch/core/raft/membership.py
@@ -1,31 +1,30 @@
-"""Who belongs to the replicated log, and in which part."""
+"""The members of the replicated log, as voters and learners."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 MAX_VOTERS = 7
-"""The plan sets at most this many hosts aside for control."""
+"""The maximum number of hosts that the placement plan assigns to control."""
 
 MAX_VOTERS_WHILE_REPLACING = MAX_VOTERS + 1
-"""A replacement may have its vote already while the host that it replaces still has one."""
+"""During a replacement, the new host and the host that it replaces may both be voters."""
 
 
 class Member(NamedTuple):
-    """One control host under one identity.
+    """One control host with one member ID.
 
-    A host whose disk was replaced has forgotten its votes and its entries. If it came back under
-    its old identity it could vote twice in one term, and a majority that it once belonged to
-    would no longer hold what was committed. So the identity belongs to the data folder, and a new
-    folder is a new member.
+    A host whose disk was replaced has lost its votes and its entries. Under its old ID it could
+    vote twice in one term, and it would count towards majorities without holding the entries that
+    they committed. So the ID belongs to the data directory, and a new directory is a new member.
     """
 
     member_id: str
-    """The identity of the data folder, unique for good."""
+    """The ID of the data directory, which is never reused."""
     name: str
-    """The host's name from its settings."""
+    """The name of the host in its settings."""
     address: str
-    """The IP address where it accepts links."""
+    """The IP address on which it accepts links."""
     port: int
 
 
@@ -34,11 +33,11 @@
 
     voters: tuple[Member, ...] = ()
     learners: tuple[Member, ...] = ()
-    """Members that receive the log but do not count towards any majority."""
+    """Members that receive the log but don't count towards majorities."""
 
     @property
     def voter_ids(self) -> tuple[str, ...]:
-        """The identities of the voters."""
+        """The member IDs of the voters."""
         return tuple(member.member_id for member in self.voters)
 
     @property
@@ -48,28 +47,28 @@
 
     @property
     def majority(self) -> int:
-        """How many voters make a quorum."""
+        """The number of voters that make a quorum."""
         return len(self.voters) // 2 + 1
 
     def find(self, member_id: str) -> Member | None:
-        """Return the member with this identity, if there is one."""
-        return next((one for one in self.members if one.member_id == member_id), None)
+        """Return the member with this ID, or None."""
+        return next((peer for peer in self.members if peer.member_id == member_id), None)
 
     def is_voter(self, member_id: str) -> bool:
-        """Return whether this identity counts towards majorities."""
-        return any(one.member_id == member_id for one in self.voters)
+        """Return whether the member with this ID is a voter."""
+        return any(voter.member_id == member_id for voter in self.voters)
 
     def with_learner(self, member: Member) -> Membership:
-        """Return the membership with one learner more, in place of any older one of its name.
+        """Return the membership with an added learner, which replaces any learner of its name.
 
-        A learner that loses its disk comes back as another member. Kept beside it, the identity
-        that can never answer again would be taken for the host when the learner gets its vote.
+        A learner that loses its disk returns under a new member ID. If its old ID stayed a learner,
+        that ID, which can never reply again, could be taken for the host at the promotion.
         """
-        others = (one for one in self.learners if one.name != member.name)
+        others = (learner for learner in self.learners if learner.name != member.name)
         return self._replace(learners=(*others, member))
 
     def with_promoted(self, member_id: str) -> Membership:
-        """Return the membership with one learner turned into a voter.
+        """Return the membership with a learner promoted to voter.
 
         Raises:
             KeyError: If there is no such learner.
@@ -80,8 +79,8 @@
         raise KeyError(member_id)
 
     def without(self, member_id: str) -> Membership:
-        """Return the membership without this identity."""
+        """Return the membership without the member with this ID."""
         return Membership(
-            tuple(one for one in self.voters if one.member_id != member_id),
-            tuple(one for one in self.learners if one.member_id != member_id),
+            tuple(voter for voter in self.voters if voter.member_id != member_id),
+            tuple(learner for learner in self.learners if learner.member_id != member_id),
         )
--- a/src/alderhatch/core/raft/messages.py
+++ b/src/alderhatch/core/raft/messages.py
@@ -1,7 +1,7 @@
 """The messages between the members of the replicated log.
 
-Every message carries its sender's term. The two ends of a link know each other's identity and
-cluster, so the messages don't repeat them.
+Every message carries the term of its sender. Both ends of a link know the member ID and the cluster
+of the other, so messages don't repeat them.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 
 
 class PreVote(NamedTuple):
-    """Asks whether an election would be won, without raising anybody's term."""
+    """Asks whether the receiver would grant a vote, without raising any term."""
 
     term: int
-    """The term that the election would have."""
+    """The term that the candidate would use in the election."""
     last_index: int
     last_term: int
 
 
 class PreVoteReply(NamedTuple):
-    """The answer to a ``PreVote``."""
+    """The reply to a ``PreVote``."""
 
     term: int
-    """The asked term if granted, else the replier's own."""
+    """The requested term if granted, else the term of the sender."""
     granted: bool
 
 
 class Vote(NamedTuple):
-    """Asks for a vote."""
+    """Requests a vote."""
 
     term: int
     last_index: int
     last_term: int
     transfer: bool
-    """The leader itself asked for this election, so hearing from it is no reason to refuse."""
+    """The leader requested this election, so recent contact with it is no reason to refuse."""
 
 
 class VoteReply(NamedTuple):
-    """The answer to a ``Vote``; a granted one is sent once the vote is on disk."""
+    """The reply to a ``Vote``; a grant is sent only once the vote is on disk."""
 
     term: int
     granted: bool
 
 
 class Append(NamedTuple):
-    """Entries that follow on the one at ``prev_index``."""
+    """The entries that follow the entry at ``prev_index``."""
 
     term: int
     prev_index: int
@@ -56,35 +56,35 @@
 
 
 class AppendReply(NamedTuple):
-    """The answer to an ``Append``; a success is sent once the entries are on disk."""
+    """The reply to an ``Append``; success is sent only once the entries are on disk."""
 
     term: int
     success: bool
     prev_index: int
-    """That of the append which is answered."""
+    """The ``prev_index`` of the append."""
     index: int  # type: ignore[assignment]
-    """On success the last matching index, else from where the leader should try next."""
+    """On success the last matching index, else the next index that the leader should try."""
 
 
 class Heartbeat(NamedTuple):
-    """Proves that the leader is alive; it does not wait for any disk."""
+    """Shows that the leader is alive; it is sent without waiting for disk writes."""
 
     term: int
     round: int
-    """Counts up within the leader's term."""
+    """The number of the heartbeat round, increasing within a term."""
     commit: int
-    """The commit index, at most the peer's own matching index."""
+    """The commit index, limited to the matching index of the receiver."""
 
 
 class HeartbeatReply(NamedTuple):
-    """The answer to a ``Heartbeat``: a promise not to elect another for a while."""
+    """The reply to a ``Heartbeat``: the sender elects no other leader for an election timeout."""
 
     term: int
     round: int
 
 
 class SnapshotChunk(NamedTuple):
-    """One piece of a snapshot."""
+    """Part of a snapshot."""
 
     term: int
     snapshot: SnapshotMeta
@@ -93,19 +93,19 @@
 
 
 class SnapshotReply(NamedTuple):
-    """How far the receiver has got with a snapshot."""
+    """The progress of a receiver with a snapshot."""
 
     term: int
     index: int  # type: ignore[assignment]
-    """The snapshot's index."""
+    """The index of the snapshot."""
     next_offset: int
-    """Where the next piece has to start."""
+    """The offset at which the next chunk must start."""
     installed: bool
-    """The snapshot is on disk, whole, and in use."""
+    """Whether the complete snapshot is on disk and in use."""
 
 
 class TimeoutNow(NamedTuple):
-    """The leader asks the receiver to stand for election at once."""
+    """The leader asks the receiver to start an election at once."""
 
     term: int
 
@@ -125,18 +125,18 @@
 )
 
 REPLY_TYPES = (PreVoteReply, VoteReply, AppendReply, HeartbeatReply, SnapshotReply)
-"""The messages that go back over the link on which the question came."""
+"""The messages that are sent back over the link on which the request arrived."""
 
 
-def answer_to_stale(message: Message, term: int) -> Message | None:
-    """Return the answer to a message of an older term, which tells its sender the newer one.
+def reply_to_stale_term(message: Message, term: int) -> Message | None:
+    """Return the reply to a message of an older term, which tells its sender the newer term.
 
     Args:
         message: The message.
-        term: The receiver's term.
+        term: The term of the receiver.
 
     Returns:
-        The answer; None if the message is an answer itself, or wants none.
+        The reply; None if the message is a reply itself or needs none.
     """
     match message:
         case Append():
--- a/src/alderhatch/core/raft/raft_log.py
+++ b/src/alderhatch/core/raft/raft_log.py
@@ -1,4 +1,4 @@
-"""The entries that a member has in memory."""
+"""The part of the replicated log that a member holds in memory."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 
 
 class RaftLog:
-    """Entries without gaps behind a base that a snapshot covers."""
+    """Contiguous entries after a base index that a snapshot covers."""
 
     def __init__(self, snapshot: SnapshotMeta | None, entries: tuple[LogEntry, ...]) -> None:
         self.snapshot = snapshot
-        """The newest snapshot that is on disk."""
+        """The latest snapshot on disk."""
         self.base_index = snapshot.index if snapshot else 0
-        """The index before the first entry in memory."""
+        """The index just before the first entry in memory."""
         self.base_term = snapshot.term if snapshot else 0
         self._entries = list(entries)
         self._memberships: list[tuple[int, Membership]] = [
             (self.base_index, snapshot.membership if snapshot else Membership())
         ]
         for entry in entries:
-            self._note_membership(entry)
+            self._record_membership(entry)
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or that of the base."""
+        """The index of the last entry, or the base index if there are none."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry, or that of the base."""
+        """The term of the last entry, or the base term if there are none."""
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
     def membership(self) -> Membership:
-        """The newest membership; it counts from when it is in the log, committed or not."""
+        """The latest membership; it takes effect once it is in the log, committed or not."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self) -> int:
-        """The index of the newest membership."""
+        """The index of the latest membership."""
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership that was the newest at an index."""
-        return next(one for at, one in reversed(self._memberships) if at <= index)
+        """Return the membership in effect at an index."""
+        return next(found for at, found in reversed(self._memberships) if at <= index)
 
     def term_at(self, index: int) -> int | None:
         """Return the term of the entry at an index, or None if it is not in memory."""
@@ -55,12 +55,12 @@
         return None
 
     def entries_between(self, first: int, last: int) -> tuple[LogEntry, ...]:
-        """Return the entries from ``first`` to ``last``, both included."""
+        """Return the entries from ``first`` to ``last``, inclusive."""
         start = first - self.base_index - 1
         return tuple(self._entries[max(start, 0) : max(last - self.base_index, 0)])
 
     def batch(self, first: int, max_bytes: int) -> tuple[LogEntry, ...]:
-        """Return entries from ``first`` on, at least one if there is one, up to a size."""
+        """Return entries from ``first`` on up to a total size, but at least one if there is one."""
         start = first - self.base_index - 1
         size = 0
         end = start
@@ -72,32 +72,34 @@
         return tuple(self._entries[start:end])
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Return whether a log that ends so holds everything this one may have committed."""
+        """Return whether a log with this last entry is at least as up to date as this one."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def append(self, entry: LogEntry) -> None:
-        """Add the next entry.
+        """Append an entry.
 
         Raises:
-            ValueError: If it is not the next one.
+            ValueError: If its index is not the next one.
         """
         if entry.index != self.last_index + 1:
-            raise ValueError(f"entry {entry.index} does not follow on {self.last_index}")
+            raise ValueError(
+                f"entry {entry.index} does not follow the last index {self.last_index}"
+            )
         self._entries.append(entry)
-        self._note_membership(entry)
+        self._record_membership(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entry at an index and all behind it."""
+        """Drop the entry at an index and all entries after it."""
         del self._entries[index - self.base_index - 1 :]
         while self._memberships[-1][0] >= index and len(self._memberships) > 1:
             self._memberships.pop()
 
     def compact(self, snapshot: SnapshotMeta, keep_entries: int) -> None:
-        """Adopt this host's newer snapshot and drop what nobody needs any more.
+        """Set a newer snapshot of this host and drop the entries that are no longer needed.
 
         Args:
             snapshot: A snapshot of applied entries.
-            keep_entries: How many entries before it stay in memory.
+            keep_entries: The number of entries up to the snapshot that stay in memory.
         """
         self.snapshot = snapshot
         base = snapshot.index - keep_entries
@@ -106,17 +108,17 @@
         membership = self.membership_at(base)
         term = self.term_at(base)
         if term is None:
-            raise ValueError(f"a snapshot at {snapshot.index} is beyond the log")
+            raise ValueError(f"snapshot index {snapshot.index} is beyond the end of the log")
         del self._entries[: base - self.base_index]
-        newer = [one for one in self._memberships if one[0] > base]
+        newer = [item for item in self._memberships if item[0] > base]
         self._memberships = [(base, membership), *newer]
         self.base_index = base
         self.base_term = term
 
     def reset(self, snapshot: SnapshotMeta) -> None:
-        """Start anew behind a snapshot that came from a leader."""
+        """Restart with no entries after a snapshot received from the leader."""
         self.__init__(snapshot, ())  # type: ignore[misc]
 
-    def _note_membership(self, entry: LogEntry) -> None:
+    def _record_membership(self, entry: LogEntry) -> None:
         if entry.membership is not None:
             self._memberships.append((entry.index, entry.membership))
--- a/src/alderhatch/core/raft/raft_node.py
+++ b/src/alderhatch/core/raft/raft_node.py
@@ -1,4 +1,4 @@
-"""One member of the replicated log, as a state machine without input or output."""
+"""One member of the replicated log, as a state machine without I/O."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     TimeoutNow,
     Vote,
     VoteReply,
-    answer_to_stale,
+    reply_to_stale_term,
 )
 from .raft_config import RaftConfig
 from .raft_log import RaftLog
@@ -53,10 +53,10 @@
 
 
 class RaftNode:
-    """A member: events go in with the time, effects come out.
+    """A member of the log: takes events with their time and returns effects.
 
-    Nothing is acknowledged before it is on disk: ``Persist`` effects ask for writes, and what
-    depends on them is sent only after the ``Persisted`` event.
+    Nothing is acknowledged before it is on disk: ``Persist`` effects request writes, and messages
+    that depend on them are sent only after the ``Persisted`` event.
     """
 
     def __init__(
@@ -69,17 +69,17 @@
         now: Millis,
         silent_since: Millis | None = None,
     ) -> None:
-        """Go on from what is on disk.
+        """Start from the state on disk.
 
         Args:
-            member_id: This member's identity.
-            cfg: Times and sizes.
-            random: Spreads the election timeouts; with one seed each run is the same.
-            hard_state: Term and vote from the disk.
-            log: Snapshot and entries from the disk.
-            now: The time.
-            silent_since: Since when this member has certainly answered no leader; the same as now
-                if nothing is known.
+            member_id: The ID of this member.
+            cfg: Timeouts and limits.
+            random: Randomizes election timeouts; a seed makes runs repeatable.
+            hard_state: Term and vote from disk.
+            log: Snapshot and entries from disk.
+            now: The current time.
+            silent_since: The time since which this member has certainly replied to no leader; None
+                if unknown, which counts as ``now``.
         """
         self._state = MemberState(member_id, cfg, hard_state, log)
         self._cfg = cfg
@@ -90,25 +90,27 @@
         self._receiver = SnapshotReceiver(self._state)
         self._log_follower = LogFollower(self._state)
         self._failure: str | None = None
-        # A member that restarts has forgotten whom it has just heard from. If it voted at once,
-        # a new leader could be elected while the old one's lease still holds.
-        self._heard_at = now if silent_since is None else min(silent_since, now)
-        self._deadline = now if self._is_alone else self._heard_at + self._election_delay()
-        self._vote_number = 0
-        self._vote_asked_at = now
-        self._told_role: tuple[Role, int, str | None] = (self.role, self.term, None)
-        self._told_membership = self.membership
+        # A restarted member doesn't know when it last replied to a leader. If it voted at once, a
+        # new leader could be elected while the lease of the old one is still valid.
+        self._leader_contact_at = now if silent_since is None else min(silent_since, now)
+        self._election_deadline = (
+            now if self._is_only_voter else self._leader_contact_at + self._election_delay()
+        )
+        self._vote_write_number = 0
+        self._vote_issued_at = now
+        self._reported_role: tuple[Role, int, str | None] = (self.role, self.term, None)
+        self._reported_membership = self.membership
 
-    # What holds now
+    # Queries
 
     @property
     def member_id(self) -> str:
-        """This member's identity."""
+        """The ID of this member."""
         return self._state.member_id
 
     @property
     def role(self) -> Role:
-        """The part that this member plays."""
+        """The current role of this member."""
         if self._leadership is not None:
             return Role.LEADER
         if self._election is not None:
@@ -117,49 +119,49 @@
 
     @property
     def term(self) -> int:
-        """The newest term that this member has seen."""
+        """The highest term that this member has seen."""
         return self._state.term
 
     @property
     def leader(self) -> str | None:
-        """The leader's identity, if known."""
+        """The member ID of the leader, if known."""
         return self._leader
 
     @property
     def log(self) -> RaftLog:
-        """The entries in memory; not to be changed."""
+        """The entries in memory; callers must not change it."""
         return self._state.log
 
     @property
     def membership(self) -> Membership:
-        """The newest membership in the log."""
+        """The latest membership in the log, committed or not."""
         return self._state.membership
 
     @property
     def commit_index(self) -> int:
-        """The last entry that is known to be committed."""
+        """The index of the last entry that is known to be committed."""
         return self._state.commit_index
 
     @property
     def applied_index(self) -> int:
-        """The last entry that was given out to be applied."""
+        """The index of the last entry passed on in an ``Apply`` effect."""
         return self._state.applied_index
 
     @property
     def failure(self) -> str | None:
-        """Why this member stopped for good, if its disk failed."""
+        """The reason why this member stopped permanently, if its disk failed."""
         return self._failure
 
     def lease_until(self, now: Millis) -> Millis:
-        """Return until when this member is certainly the only leader; 0 if it is none."""
+        """Return the end of this member's leader lease; 0 if it is not the leader."""
         return self._leadership.lease_until(now) if self._leadership else 0.0
 
     def responsive_members(self, now: Millis) -> frozenset[str]:
-        """Return the members that this leader has heard from lately; empty if it is none."""
+        """Return the members that replied to this leader recently; empty if it is no leader."""
         return self._leadership.responsive_members(now) if self._leadership else frozenset()
 
     def match_index(self, peer: str) -> int:
-        """Return the last index that a peer has acknowledged to this leader; 0 if it is none."""
+        """Return the last index acknowledged by a peer; 0 if this member is not the leader."""
         return self._leadership.match_index(peer) if self._leadership else 0
 
     @property
@@ -169,29 +171,29 @@
             return NEVER
         if self._leadership is not None:
             return self._leadership.next_heartbeat
-        return self._deadline if self._state.is_voter else NEVER
+        return self._election_deadline if self._state.is_voter else NEVER
 
     @property
-    def _is_alone(self) -> bool:
+    def _is_only_voter(self) -> bool:
         return self._state.membership.voter_ids == (self._state.member_id,)
 
     # Events
 
     def step(self, event: Event, now: Millis) -> list[Effect]:
-        """Take in one event.
+        """Handle one event.
 
         Args:
-            event: What happened.
-            now: When, on a clock that never goes back.
+            event: The event.
+            now: Its time on a monotonic clock.
 
         Returns:
-            What is to be done, in this order.
+            The effects to execute, in order.
         """
         if self._failure is None:
             self._handle(event, now)
         else:
             self._refuse(event)
-        self._settle(now)
+        self._finish_step(now)
         return self._state.flush()
 
     def _handle(self, event: Event, now: Millis) -> None:
@@ -210,7 +212,7 @@
             case SnapshotInstalled(snapshot):
                 self._receiver.on_installed(snapshot)
             case SnapshotCorrupted(snapshot):
-                self._receiver.on_spoilt(snapshot)
+                self._receiver.on_corrupted(snapshot)
             case StorageFailed(reason):
                 self._on_storage_failed(reason)
             case Propose() | ReadBarrier() | ChangeMembership() | TransferLeadership():
@@ -239,13 +241,13 @@
         tags: tuple[int, ...] = ()
         match event:
             case Propose(proposals):
-                tags = tuple(one.tag for one in proposals)
+                tags = tuple(proposal.tag for proposal in proposals)
             case ReadBarrier(tag) | ChangeMembership(tag) | TransferLeadership(tag):
                 tags = (tag,)
         for tag in tags:
             self._state.emit(Refused(tag, Refusal.NOT_LEADER, "this host is not the leader"))
 
-    def _settle(self, now: Millis) -> None:
+    def _finish_step(self, now: Millis) -> None:
         if self._election is not None:
             if self._election.advance():
                 self._on_vote_issued(now)
@@ -253,44 +255,46 @@
                 self._become_leader(now)
         self._state.maybe_take_snapshot()
         role = (self.role, self.term, self._leader)
-        if role != self._told_role:
-            self._told_role = role
+        if role != self._reported_role:
+            self._reported_role = role
             self._state.emit(RoleChanged(*role))
-        if self.membership != self._told_membership:
-            self._told_membership = self.membership
+        if self.membership != self._reported_membership:
+            self._reported_membership = self.membership
             self._state.emit(MembershipChanged(self.membership))
 
     def _on_tick(self, now: Millis) -> None:
         if self._leadership is not None:
-            if self._leadership.has_lost_quorum(now) or self._leadership.must_step_down(now):
+            if self._leadership.has_lost_quorum(now) or self._leadership.has_transfer_failed(now):
                 self._become_follower(self.term, None, now)
                 return
             self._leadership.tick(now)
-        elif self._is_writing_vote:
-            self._deadline = max(self._deadline, now + self._cfg.heartbeat)
-        elif self._state.is_voter and now >= self._deadline:
-            self._stand(now, transfer=False)
+        elif self._is_vote_write_pending:
+            self._election_deadline = max(self._election_deadline, now + self._cfg.heartbeat)
+        elif self._state.is_voter and now >= self._election_deadline:
+            self._start_election(now, transfer=False)
 
     @property
-    def _is_writing_vote(self) -> bool:
-        return self._state.persisted_number < self._vote_number
+    def _is_vote_write_pending(self) -> bool:
+        return self._state.persisted_write_number < self._vote_write_number
 
     def _on_vote_issued(self, now: Millis) -> None:
-        self._vote_number = self._state.issued_number
-        self._vote_asked_at = now
-
-    def _on_vote_written(self, now: Millis) -> None:
-        # The others' disks may be as slow as this one. A member that stood again before their
-        # votes can be there would end its own election, and with slow disks all round nobody
-        # would ever lead.
-        span = now - self._vote_asked_at
-        self._deadline = max(self._deadline, now + self._election_delay() + 2 * span)
+        self._vote_write_number = self._state.latest_write_number
+        self._vote_issued_at = now
+
+    def _on_vote_persisted(self, now: Millis) -> None:
+        # The disks of the other voters may be as slow as this one. A member that started another
+        # election before their votes can arrive would abort its own, and with slow disks everywhere
+        # no leader would ever be elected.
+        write_duration = now - self._vote_issued_at
+        self._election_deadline = max(
+            self._election_deadline, now + self._election_delay() + 2 * write_duration
+        )
 
     def _on_persisted(self, number: int, now: Millis) -> None:
-        was_writing_vote = self._is_writing_vote
+        was_vote_write_pending = self._is_vote_write_pending
         self._state.on_persisted(number)
-        if was_writing_vote and not self._is_writing_vote:
-            self._on_vote_written(now)
+        if was_vote_write_pending and not self._is_vote_write_pending:
+            self._on_vote_persisted(now)
         if self._election is not None:
             self._election.on_persisted()
         if self._leadership is not None:
@@ -298,7 +302,7 @@
 
     def _on_storage_failed(self, reason: str) -> None:
         if self._leadership is not None:
-            self._leadership.abdicate()
+            self._leadership.transfer_immediately()
             self._leadership.step_down()
         self._failure = reason
         self._leadership = None
@@ -311,9 +315,9 @@
         timeout = self._cfg.election_timeout
         return timeout + self._random.random() * timeout
 
-    def _stand(self, now: Millis, transfer: bool) -> None:
+    def _start_election(self, now: Millis, transfer: bool) -> None:
         self._leader = None
-        self._deadline = now + self._election_delay()
+        self._election_deadline = now + self._election_delay()
         self._election = Election(self._state, transfer)
         if transfer:
             self._on_vote_issued(now)
@@ -326,23 +330,23 @@
     def _become_follower(self, term: int, leader: str | None, now: Millis) -> None:
         if self._leadership is not None:
             self._leadership.step_down()
-            self._deadline = now + self._election_delay()
+            self._election_deadline = now + self._election_delay()
         self._leadership = None
         self._election = None
         self._leader = leader
         if term > self.term:
             self._state.set_hard_state(term, "")
 
-    def _follow(self, leader: str, now: Millis) -> None:
+    def _follow_leader(self, leader: str, now: Millis) -> None:
         if self._election is not None or self._leader != leader:
             self._become_follower(self.term, leader, now)
-        self._heard_at = now
-        self._deadline = now + self._election_delay()
+        self._leader_contact_at = now
+        self._election_deadline = now + self._election_delay()
 
-    def _hears_leader(self, now: Millis) -> bool:
+    def _has_active_leader(self, now: Millis) -> bool:
         if self._leadership is not None:
             return True
-        return now < self._heard_at + self._cfg.election_timeout
+        return now < self._leader_contact_at + self._cfg.election_timeout
 
     # Messages
 
@@ -355,21 +359,21 @@
                 if self._election is not None:
                     self._election.on_pre_vote_granted(sender, term)
                 return
-            case Vote() if not message.transfer and self._hears_leader(now):
-                # A member that was cut off, or was removed and doesn't know it, must not depose a
-                # leader that the others hear from; and the leader's lease counts on it.
+            case Vote() if not message.transfer and self._has_active_leader(now):
+                # A member that was partitioned, or doesn't know that it was removed, must not
+                # depose a healthy leader. The leader lease relies on this rule.
                 self._state.send(sender, VoteReply(self.term, False))
                 return
         if message.term < self.term:
-            answer = answer_to_stale(message, self.term)
-            if answer is not None:
-                self._state.send(sender, answer)
+            reply = reply_to_stale_term(message, self.term)
+            if reply is not None:
+                self._state.send(sender, reply)
             return
         if message.term > self.term:
             self._become_follower(message.term, None, now)
-        self._on_current(sender, message, now)
+        self._on_current_term(sender, message, now)
 
-    def _on_current(self, sender: str, message: Message, now: Millis) -> None:
+    def _on_current_term(self, sender: str, message: Message, now: Millis) -> None:
         match message:
             case Vote():
                 self._on_vote(sender, message, now)
@@ -377,19 +381,19 @@
                 if granted and self._election is not None:
                     self._election.on_vote_granted(sender)
             case Append():
-                self._follow(sender, now)
+                self._follow_leader(sender, now)
                 if not self._receiver.is_installing:
                     self._log_follower.on_append(sender, message)
             case Heartbeat():
-                self._follow(sender, now)
+                self._follow_leader(sender, now)
                 self._state.commit_to(message.commit)
                 self._state.send(sender, HeartbeatReply(self.term, message.round))
             case SnapshotChunk():
-                self._follow(sender, now)
+                self._follow_leader(sender, now)
                 self._receiver.on_chunk(sender, message)
             case TimeoutNow():
                 if self._state.is_voter and self._leadership is None:
-                    self._stand(now, transfer=True)
+                    self._start_election(now, transfer=True)
             case AppendReply() if self._leadership is not None:
                 self._leadership.on_append_reply(sender, message, now)
             case HeartbeatReply() if self._leadership is not None:
@@ -400,19 +404,21 @@
     def _on_pre_vote(self, sender: str, message: PreVote, now: Millis) -> None:
         granted = (
             message.term > self.term
-            and not self._hears_leader(now)
+            and not self._has_active_leader(now)
             and self.log.is_up_to_date(message.last_index, message.last_term)
         )
         term = message.term if granted else self.term
         self._state.send(sender, PreVoteReply(term, granted))
 
     def _on_vote(self, sender: str, message: Vote, now: Millis) -> None:
-        is_free = self._state.hard_state.vote in ("", sender)
-        granted = is_free and self.log.is_up_to_date(message.last_index, message.last_term)
+        is_vote_available = self._state.hard_state.vote in ("", sender)
+        granted = is_vote_available and self.log.is_up_to_date(
+            message.last_index, message.last_term
+        )
         if not granted:
             self._state.send(sender, VoteReply(self.term, False))
             return
         self._state.set_hard_state(self.term, sender)
-        self._deadline = now + self._election_delay()
+        self._election_deadline = now + self._election_delay()
         self._on_vote_issued(now)
         self._state.send_persisted(sender, VoteReply(self.term, True))
