--- a/features/support/raft_checks.py
+++ b/features/support/raft_checks.py
@@ -1,8 +1,8 @@
-"""What must hold of the replicated log at each moment, seen from outside with all disks in view.
+"""Safety invariants of the replicated log, checked on the members and disks of a test cluster.
 
-A broken rule seldom does harm at once: it takes one more crash, or one more election, that a random
-schedule rarely has just then. So the rules are checked where they are broken, and not only by what
-comes of it.
+A violated invariant seldom has a visible effect at once: that takes another crash or election at
+the right time, which random schedules rarely contain. So each invariant is checked where it can be
+violated, and not only by its consequences.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from alderhatch.core.raft.membership import Membership
 from alderhatch.core.raft.messages import AppendReply, SnapshotReply, Vote, VoteReply
 
-LOOKED_BACK = 40
-"""How many of the last committed entries are looked for on the disks."""
+MAX_CHECKED_ENTRIES = 40
+"""The number of last committed entries that are checked on the disks."""
 
 
-class Violation(AssertionError):
-    """A promise of the replicated log was broken."""
+class InvariantViolation(AssertionError):
+    """An invariant of the replicated log was violated."""
 
 
-class Checks:
-    """Knows every host of a cluster, its disk, and what was committed."""
+class InvariantChecker:
+    """Checks the hosts of a cluster, their disks and the committed entries."""
 
     def __init__(self, hosts: dict[str, Any], committed: dict[int, LogEntry]) -> None:
         self._hosts = hosts
@@ -31,7 +31,7 @@
         self._votes: dict[tuple[str, int], str] = {}
 
     def on_send(self, sender: Any, to: str, message: Any, leaders: dict[int, str]) -> None:
-        """What a member says of its disk is true when it says it."""
+        """Check that votes and acknowledgements are on the sender's disk when they are sent."""
         member_id, disk = sender.member.member_id, sender.disk
         match message:
             case VoteReply(term, True):
@@ -39,26 +39,34 @@
             case Vote(term):
                 self._check_vote(sender, member_id, term)
             case AppendReply(term, True, _, index) if sender.node.term == term:
-                # One that waited for the disk while a newer leader came is as if it were late on
-                # its way; what the member has now is no measure for it.
+                # A reply of an older term was deferred until its write completed, and counts as
+                # delayed in the network; the current log of the member says nothing about it.
                 log = sender.node.log
                 if disk.hard_state.term < term:
-                    raise Violation(f"{member_id} acknowledges in term {term}, not on its disk")
-                if index and not on_disk(disk, index, log.term_at(index)):
-                    raise Violation(f"{member_id} acknowledges {index}, not on its disk")
-                self._check_same(sender, to, term, index, leaders)
+                    raise InvariantViolation(
+                        f"{member_id} acknowledges in term {term}, which is not on its disk"
+                    )
+                if index and not is_on_disk(disk, index, log.term_at(index)):
+                    raise InvariantViolation(
+                        f"{member_id} acknowledges entry {index}, which is not on its disk"
+                    )
+                self._check_matches_leader(sender, to, term, index, leaders)
             case SnapshotReply(index=index, installed=True):
-                if not on_disk(disk, index, sender.node.log.term_at(index)):
-                    raise Violation(f"{member_id} has no snapshot at {index} on its disk")
+                if not is_on_disk(disk, index, sender.node.log.term_at(index)):
+                    raise InvariantViolation(
+                        f"{member_id} confirms a snapshot at {index}, which is not on its disk"
+                    )
 
     def _check_vote(self, sender: Any, candidate: str, term: int) -> None:
         member_id = sender.member.member_id
         if tuple(sender.disk.hard_state) != (term, candidate):
-            raise Violation(f"{member_id}'s vote for {candidate} in {term} is not on its disk")
+            raise InvariantViolation(
+                f"vote of {member_id} for {candidate} in term {term} is not on its disk"
+            )
         if self._votes.setdefault((member_id, term), candidate) != candidate:
-            raise Violation(f"{member_id} votes twice in term {term}")
+            raise InvariantViolation(f"{member_id} votes twice in term {term}")
 
-    def _check_same(
+    def _check_matches_leader(
         self, sender: Any, to: str, term: int, index: int, leaders: dict[int, str]
     ) -> None:
         leader = self._hosts[to].node
@@ -68,79 +76,99 @@
         if leader.role is not Role.LEADER or index <= max(bases):
             return
         if leader.log.term_at(index) != sender.node.log.term_at(index):
-            raise Violation(f"{sender.member.member_id} acknowledges another entry {index}")
+            raise InvariantViolation(
+                f"{sender.member.member_id} acknowledges an entry {index} unlike the leader's"
+            )
 
     def on_commit(self, host: Any, entries: tuple[LogEntry, ...]) -> None:
-        """A leader commits an entry of its own term that a majority has on disk."""
+        """Check that a leader commits an entry of its own term that is on a majority of disks."""
         node = host.node
         if node is None or node.role is not Role.LEADER or entries[-1].index not in self._committed:
             return
         last = entries[-1]
         if last.term != node.term:
-            raise Violation(f"entry {last.index} of term {last.term} committed in {node.term}")
+            raise InvariantViolation(
+                f"entry {last.index} of term {last.term} committed in term {node.term}"
+            )
         if not self._is_on_majority(last, node.membership):
-            raise Violation(f"entry {last.index} is committed without a majority of disks")
+            raise InvariantViolation(
+                f"entry {last.index} was committed without being on a majority of disks"
+            )
 
     def on_install(self, host: Any, snapshot: SnapshotMeta) -> None:
-        """A snapshot never takes the place of a log that has all of it and more."""
+        """Check that a snapshot does not replace a log that already has its last entry."""
         entry = host.disk.entries.get(snapshot.index)
         if entry is not None and entry.term == snapshot.term:
-            raise Violation(f"{host.member.member_id} drops its log for a snapshot that it has")
+            raise InvariantViolation(
+                f"{host.member.member_id} drops its log for a snapshot that its log covers"
+            )
 
-    def on_elected(self, host: Any, holders: list[Any]) -> None:
-        """Nobody is elected in a newer term while another member's lease holds.
+    def on_elected(self, host: Any, lease_holders: list[Any]) -> None:
+        """Check that no leader is elected while a leader of an older term holds a lease.
 
-        Late votes can still elect somebody in an older term, who can commit nothing any more.
+        Delayed votes can still elect a leader of an older term, which can commit nothing.
         """
-        for other in holders:
+        for other in lease_holders:
             if other.node.term < host.node.term:
-                names = f"{host.member.member_id} elected, {other.member.member_id}"
-                raise Violation(f"{names} holds a lease")
+                names = f"{host.member.member_id} was elected while {other.member.member_id}"
+                raise InvariantViolation(f"{names} holds a lease")
 
-    def check_members(self) -> None:
-        """No leader has two changes of membership under way."""
+    def check_membership_changes(self) -> None:
+        """Check that no leader has two uncommitted membership changes."""
         for host in self._hosts.values():
             node = host.node
             if node is None or node.role is not Role.LEADER:
                 continue
             entries = node.log.entries_between(node.commit_index + 1, node.log.last_index)
-            kinds = [one.kind for one in entries if one.index not in self._committed]
+            kinds = [pending.kind for pending in entries if pending.index not in self._committed]
             if kinds.count(EntryKind.MEMBERSHIP) > 1:
-                raise Violation(f"{host.member.member_id} has two membership changes under way")
+                raise InvariantViolation(
+                    f"{host.member.member_id} has two uncommitted membership changes"
+                )
 
     def check_disks(self) -> None:
-        """What is committed stays on a majority of disks, and what is held to be synced is."""
+        """Check that committed entries stay on a majority of disks, and persisted ones on disk."""
         for host in self._hosts.values():
             if host.node is not None and host.node.failure is None:
                 index = host.node._state.persisted_index
-                if not on_disk(host.disk, index, host.node.log.term_at(index)) and index:
-                    raise Violation(f"{host.member.member_id} takes {index} for synced")
-        indexes = sorted(self._committed)[-LOOKED_BACK:]
-        members = self._memberships()
+                if not is_on_disk(host.disk, index, host.node.log.term_at(index)) and index:
+                    raise InvariantViolation(
+                        f"{host.member.member_id} counts missing entry {index} as persisted"
+                    )
+        indexes = sorted(self._committed)[-MAX_CHECKED_ENTRIES:]
+        memberships = self._memberships()
         for index in indexes:
             entry = self._committed[index]
-            if members and not any(self._is_on_majority(entry, one) for one in members):
-                raise Violation(f"the committed entry {index} is on no majority of disks any more")
+            if memberships and not any(
+                self._is_on_majority(entry, option) for option in memberships
+            ):
+                raise InvariantViolation(
+                    f"committed entry {index} is no longer on a majority of disks"
+                )
 
     def _memberships(self) -> list[Membership]:
-        """The newest committed membership, and newer ones by which a leader may have counted."""
-        changes = [one for _, one in sorted(self._committed.items()) if one.membership]
+        """Return the latest committed membership and later ones that a leader may have used."""
+        changes = [logged for _, logged in sorted(self._committed.items()) if logged.membership]
         newest = changes[-1].index if changes else 0
         for host in self._hosts.values():
             entries = host.disk.entries.values()
-            changes += [one for one in entries if one.membership and one.index > newest]
+            changes += [logged for logged in entries if logged.membership and logged.index > newest]
         nodes = [host.node for host in self._hosts.values() if host.node is not None]
-        found = [one.membership for one in changes if one.membership and one.index >= newest]
-        return found + [one.membership for one in nodes if one.role is Role.LEADER]
+        found = [
+            logged.membership for logged in changes if logged.membership and logged.index >= newest
+        ]
+        return found + [
+            running_node.membership for running_node in nodes if running_node.role is Role.LEADER
+        ]
 
     def _is_on_majority(self, entry: LogEntry, membership: Membership) -> bool:
-        disks = [self._hosts[one].disk for one in membership.voter_ids]
-        count = sum(on_disk(disk, entry.index, entry.term) for disk in disks)
+        disks = [self._hosts[voter_id].disk for voter_id in membership.voter_ids]
+        count = sum(is_on_disk(disk, entry.index, entry.term) for disk in disks)
         return count >= membership.majority
 
 
-def on_disk(disk: Any, index: int, term: int | None) -> bool:
-    """Whether an entry, or a snapshot that covers it, is synced."""
+def is_on_disk(disk: Any, index: int, term: int | None) -> bool:
+    """Return whether an entry, or a snapshot that covers it, is on disk."""
     if disk.snapshot is not None and disk.snapshot[0].index >= index:
         return True
     entry = disk.entries.get(index)
