--- a/features/steps/core_any_order_steps.py
+++ b/features/steps/core_any_order_steps.py
@@ -110,7 +110,9 @@
         upstream = dump["upstreams"]["ix"]
         assert upstream["open_shards"] == 0 and upstream["waiting"] == 0
         assert all(server["in_flight"] == 0 for server in upstream["servers"].values())
-        assert all(server.suspects == 0 for server in core.core._state.servers.servers.values())
+        assert all(
+            server.suspect_attempts == 0 for server in core.core._state.servers.servers.values()
+        )
 
     check()
 
--- a/features/steps/core_replica_steps.py
+++ b/features/steps/core_replica_steps.py
@@ -18,9 +18,9 @@
     ServerState,
 )
 from alderhatch.core.latency_histogram import LatencyHistogram
-from alderhatch.core.owners import EntryPlace, owners_of
+from alderhatch.core.owners import EntryLocation, owners_of
 from alderhatch.core.policy import Policy
-from alderhatch.core.replica_choice import NEAR, choose_replica
+from alderhatch.core.replica_choice import TIE_TOLERANCE, choose_replica
 from alderhatch.core.rule import Serve
 from alderhatch.core.server_view import ServerView
 from alderhatch.core.shard_map import Server
@@ -232,7 +232,7 @@
     view = ServerView(server, LatencyHistogram(5.0), Policy())
     view.in_flight = in_flight
     view.latency, view.latency_at = latency, 100.0
-    view.others, view.others_at = float(others), 90.0
+    view.other_load, view.other_load_at = float(others), 90.0
     match trouble:
         case "shed":
             view.shed_until = 200.0
@@ -274,7 +274,7 @@
             return
         assert chosen is not None
         # Near estimates count as equal, one such step after another.
-        slack = (1 + NEAR) ** len(views)
+        slack = (1 + TIE_TOLERANCE) ** len(views)
         assert costs[chosen.server_id] <= min(costs.values()) * slack + 1e-9
 
     check()
@@ -339,7 +339,7 @@
 
 @then("owners of a server come from its zone first and move little when an entry goes")
 def step_owners(context):
-    entries = [EntryPlace(f"entry-{index}", ZONES[index % 3]) for index in range(12)]
+    entries = [EntryLocation(f"entry-{index}", ZONES[index % 3]) for index in range(12)]
     gone = entries[0]
     fewer = entries[1:]
     for index in range(60):
@@ -356,7 +356,7 @@
 def idle_view(name, zone, latency):
     server = Server(name, "127.0.0.1", 80, zone, 2, 8)
     view = ServerView(server, LatencyHistogram(latency), Policy())
-    view.saw_latency(latency, 100.0)
+    view.record_latency(latency, 100.0)
     return view
 
 
@@ -369,7 +369,7 @@
 def step_near_enough(context, enough):
     context.asked = {
         choose_replica(
-            context.views, (), ZONES[0], 1.0, 100.0, Random(seed), near_enough=enough
+            context.views, (), ZONES[0], 1.0, 100.0, Random(seed), other_zone_floor=enough
         ).server_id
         for seed in range(20)
     }
--- a/features/steps/gather_split_steps.py
+++ b/features/steps/gather_split_steps.py
@@ -454,7 +454,7 @@
     is_barred = how == "leaving"
     for name in [] if out == "none" else out.split(" and "):
         target = context.servers.upstream("shard").targets[name]
-        target.saw_draining(0.0) if is_barred else target.eject(0.0)
+        target.record_draining(0.0) if is_barred else target.eject(0.0)
 
 
 @then('a share that is {is_heard} asks "{first}" first, and {may} be asked for by another host')
--- a/src/alderhatch/core/arrival.py
+++ b/src/alderhatch/core/arrival.py
@@ -93,7 +93,7 @@
 
     def _admit(self, run: Run, upstream: UpstreamView) -> None:
         core = self._state
-        needed = upstream.latencies.fastest + core.policy.path_cost_ms
+        needed = upstream.latencies.p05 + core.policy.path_cost_ms
         if core.now + needed > run.deadline:
             message = f"the fastest answers take {needed:.1f} ms"
             core.refuse(run.query, run.rule, ErrorKind.DEADLINE_TOO_SHORT, message)
@@ -105,7 +105,7 @@
             return
         wait = gate.expected_wait(run.rank)
         latest = self._latest_start(run)
-        if core.now + wait > latest or wait > core.policy.max_wait_share * run.span:
+        if core.now + wait > latest or wait > core.policy.max_wait_share * run.time_budget:
             self._refuse(run, gate, f"a wait of {wait:.0f} ms is too long")
             return
         if self.admission.full():
@@ -133,8 +133,8 @@
         policy = self._state.policy
         needed = run.upstream.latencies.median
         if isinstance(run, QueryRun):
-            needed = max(needed, run.upstream.queries.quantile(policy.start_quantile))
-        return run.deadline - min(needed, MAX_START_SHARE * run.span) - policy.path_cost_ms
+            needed = max(needed, run.upstream.query_latencies.quantile(policy.start_quantile))
+        return run.deadline - min(needed, MAX_START_SHARE * run.time_budget) - policy.path_cost_ms
 
     def _enter(self, gate: UpstreamGate, run: Run) -> None:
         core = self._state
--- a/src/alderhatch/core/control/entry_lease.py
+++ b/src/alderhatch/core/control/entry_lease.py
@@ -9,7 +9,7 @@
 
 from ...clock import Millis
 from ...errors import AlderhatchError
-from ..owners import OwnerPlan
+from ..owners import OwnerAssignment
 from ..shard_map import Server
 from .connection_shares import NO_SHARE, Share, connections_for, owned_connections
 from .entry_view import EntryView
@@ -66,7 +66,7 @@
         self._whole_wanted = False
         self._held = Share(NO_SHARE)
         self._wanted = Share(NO_SHARE)
-        self._plans: dict[int, OwnerPlan] = {}
+        self._plans: dict[int, OwnerAssignment] = {}
         self._leaving = False
         self.view = EntryView()
         """Rules, settings, roster and quarantines in force here."""
--- a/src/alderhatch/core/control/roster.py
+++ b/src/alderhatch/core/control/roster.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ..owners import EntryPlace, OwnerPlan
+from ..owners import EntryLocation, OwnerAssignment
 from .feed import ControlPlace, RosterEntry
 from .host_table import HostTable
 
@@ -24,7 +24,7 @@
     )
 
 
-def plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerPlan | None:
+def plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerAssignment | None:
     """Return the plan that holds for a roster.
 
     Args:
@@ -37,11 +37,13 @@
     """
     if not owners_per_server:
         return None
-    places = [EntryPlace(row.name, row.zone) for row in roster if row.link_port and not row.leaving]
-    return OwnerPlan(places, owners_per_server) if places else None
+    places = [
+        EntryLocation(row.name, row.zone) for row in roster if row.link_port and not row.leaving
+    ]
+    return OwnerAssignment(places, owners_per_server) if places else None
 
 
-def plan_of_hosts(hosts: HostTable, owners_per_server: int) -> OwnerPlan | None:
+def plan_of_hosts(hosts: HostTable, owners_per_server: int) -> OwnerAssignment | None:
     """Return the plan that holds for the entries that take part."""
     rows = (roster_row(hosts, name) for name in hosts.entries)
     return plan_of_roster(rows, owners_per_server)
--- a/src/alderhatch/core/dispatcher.py
+++ b/src/alderhatch/core/dispatcher.py
@@ -11,7 +11,7 @@
 from .core_state import CoreState
 from .crash_watch import CRASH_LIMIT
 from .entry_events import AttemptFault, CancelAttempt, LoadReport, ProbeServer, SendShard
-from .latency_histogram import LOWEST
+from .latency_histogram import MIN_LATENCY_MS
 from .pacer import Pacer
 from .query_run import QueryRun
 from .replica_choice import choose_replica
@@ -69,7 +69,7 @@
         excluded = NOTHING if again else shard.tried
         alone = core.crashes.losses(run.fingerprint, core.now) > 0
         server: ServerView | None = None
-        if self.pacer.has_room(run, shard):
+        if self.pacer.may_send(run, shard):
             server = self._choose(run, shard, excluded, alone)
         if server is not None:
             self._emit(run, shard, server, snapshot, False, alone)
@@ -84,7 +84,7 @@
         heapq.heappush(self._parked.setdefault(key, []), entry)
         for server in shard.plan.replicas:
             self._waiting_on.setdefault(server.server_id, {})[key] = None
-            self.pacer.wake_for(server)
+            self.pacer.schedule_recheck(server)
         # One timer looks at all that waits. With one for each they would multiply in every round of
         # refusals, seen as an entry that does nothing but look at its waiting requests.
         if wake > core.now and (self._wake_at is None or wake < self._wake_at):
@@ -160,9 +160,9 @@
         self.attempts[number] = attempt
         server.in_flight += 1
         if run.rank:
-            self.pacer.sent(run, shard, server)
+            self.pacer.record_send(run, shard, server)
         if alone:
-            server.suspects += 1
+            server.suspect_attempts += 1
         core.shard_requests_sent += 1
         if core.policy.take_back_hedges:
             self._take_back(attempt)
@@ -196,9 +196,9 @@
             return None
         core = self._state
         latency = core.now - attempt.sent_at
-        if latency < LOWEST:
-            latency = LOWEST
-        attempt.server.saw_answer(latency, load, core.now)
+        if latency < MIN_LATENCY_MS:
+            latency = MIN_LATENCY_MS
+        attempt.server.record_answer(latency, load, core.now)
         attempt.run.upstream.latencies.record(latency)
         if attempt.run.gate is not None:
             slots = attempt.server.slots
@@ -216,15 +216,15 @@
         server = attempt.server
         match fault:
             case AttemptFault.SHED:
-                server.saw_shed(retry_after, core.now)
+                server.record_shed(retry_after, core.now)
                 span = server.shed_until - core.now
                 attempt.run.retry_after = max(attempt.run.retry_after or 0.0, span)
             case AttemptFault.DRAINING | AttemptFault.MOVED:
-                server.saw_draining(core.now)
+                server.record_draining(core.now)
             case AttemptFault.SILENT:
                 self._silent(attempt)
             case AttemptFault.LOST:
-                core.servers.fail(attempt.run.upstream.name, server, core.now)
+                core.servers.record_failure(attempt.run.upstream.name, server, core.now)
                 core.effects.append(ProbeServer(server.server_id))
             case (
                 AttemptFault.NOT_SENT
@@ -232,7 +232,7 @@
                 | AttemptFault.GARBAGE
                 | AttemptFault.WRONG_ANSWER
             ):
-                core.servers.fail(attempt.run.upstream.name, server, core.now)
+                core.servers.record_failure(attempt.run.upstream.name, server, core.now)
             case AttemptFault.VERSION_GONE | AttemptFault.REFUSED | AttemptFault.OWNER_LOST:
                 pass
         return attempt
@@ -244,7 +244,7 @@
         core = self._state
         server = attempt.server
         if core.now - server.silent_at < core.policy.silent_window_ms:
-            core.servers.fail(attempt.run.upstream.name, server, core.now)
+            core.servers.record_failure(attempt.run.upstream.name, server, core.now)
         server.silent_at = core.now
 
     def _end(self, number: int) -> Attempt | None:
@@ -254,11 +254,11 @@
         attempt.state.attempts.pop(number, None)
         attempt.server.in_flight -= 1
         if attempt.run.rank:
-            attempt.server.low_in_flight -= 1
+            attempt.server.lower_priority_in_flight -= 1
         if self._parked:
             self._freed.append(attempt.server)
         if attempt.alone:
-            attempt.server.suspects -= 1
+            attempt.server.suspect_attempts -= 1
         return attempt
 
     def cancel(self, attempt: Attempt) -> None:
@@ -269,7 +269,7 @@
         core.wasted += 1
         span = core.now - attempt.sent_at
         if span > attempt.server.latency:
-            attempt.server.saw_latency(span, core.now)
+            attempt.server.record_latency(span, core.now)
         core.effects.append(CancelAttempt(attempt.number))
 
     def within_crash_limit(self, run: QueryRun) -> bool:
@@ -291,7 +291,7 @@
         ready: list[tuple[Run, ShardState]] = []
         for server in self._freed:
             room = int(server.cap) - server.in_flight
-            self.pacer.wake_for(server)
+            self.pacer.schedule_recheck(server)
             # A query keeps the shards of its own map. Looked for under the names of the newest map,
             # what waits for a shard that was split meanwhile would wait until its deadline.
             waiting = self._waiting_on.get(server.server_id, {})
@@ -304,7 +304,7 @@
 
     def wake_paced(self) -> None:
         """Look again at the servers that were held back from lower classes until now."""
-        self._freed += self.pacer.due()
+        self._freed += self.pacer.take_due()
 
     def _take_waiting(
         self, key: tuple[str, str], room: int, ready: list[tuple[Run, ShardState]]
@@ -313,7 +313,7 @@
         taken = 0
         while heap and taken < room:
             _, _, run, shard = heap[0]
-            if not run.ended and not self.pacer.has_room(run, shard, taken):
+            if not run.ended and not self.pacer.may_send(run, shard, taken):
                 break
             heapq.heappop(heap)
             if not run.ended and shard.waiting and not shard.closed:
--- a/src/alderhatch/core/entry_core.py
+++ b/src/alderhatch/core/entry_core.py
@@ -171,7 +171,7 @@
         self._dispatcher.answered(number, answer.load)
         run = attempt.run
         if isinstance(run, QueryRun):
-            self._fan_out.answered(run, attempt.state, answer)
+            self._fan_out.on_answer(run, attempt.state, answer)
         elif isinstance(run, SingleRun):
             self._at_most_once.answered(run, attempt.state, answer)
 
@@ -184,7 +184,7 @@
             self._confirm_crash(server_id)
         run = attempt.run
         if isinstance(run, QueryRun):
-            self._fan_out.failed(run, attempt.state, fault, server_id)
+            self._fan_out.on_failure(run, attempt.state, fault, server_id)
         elif isinstance(run, SingleRun):
             self._at_most_once.failed(run, attempt.state, fault, server_id)
 
@@ -197,7 +197,7 @@
     def _health(self, event: HealthReported) -> None:
         state = self._state
         known = state.servers.boot_id_of(event.server_id)
-        restarted = state.servers.take_health(event, state.now)
+        restarted = state.servers.apply_health(event, state.now)
         if restarted or event.state is ServerState.UNREACHABLE:
             self._confirm_crash(event.server_id, restarted)
         elif known is not None and event.boot_id == known and event.asked_at is not None:
@@ -211,13 +211,13 @@
 
     def _adopt(self, shard_map: ShardMap) -> None:
         known = self._state.servers.snapshot_of(shard_map.upstream)
-        if not self._state.servers.adopt(shard_map, self._state.now):
+        if not self._state.servers.update_shard_map(shard_map, self._state.now):
             return
         if shard_map.snapshot == known:
             return
         for run in list(self._state.runs.values()):
             if isinstance(run, QueryRun) and run.upstream.name == shard_map.upstream:
-                self._fan_out.map_changed(run)
+                self._fan_out.on_shard_map_change(run)
 
     def _change_rules(self, revision: int, rules: RuleList) -> None:
         # Pushes can overtake each other. A revision that went down would bring back rules that an
@@ -231,7 +231,7 @@
         if run is None or self._arrival.withdraw(run):
             return
         if isinstance(run, QueryRun):
-            self._fan_out.drop(run)
+            self._fan_out.end(run)
         elif isinstance(run, SingleRun):
             self._at_most_once.caller_gone(run)
 
@@ -259,6 +259,6 @@
             elif timer.kind is TimerKind.QUEUE:
                 self._arrival.too_late(run)
             elif isinstance(run, QueryRun):
-                self._fan_out.wake(run, timer.kind)
+                self._fan_out.on_timer(run, timer.kind)
             elif isinstance(run, SingleRun):
                 self._at_most_once.wake(run, timer.kind)
--- a/src/alderhatch/core/fan_out.py
+++ b/src/alderhatch/core/fan_out.py
@@ -87,7 +87,7 @@
             if not state.closed and not state.attempts and not state.waiting:
                 self._send(run, state)
         self._hedging.started(run, len(run.shards))
-        run.upstream.retries.earn(len(run.shards))
+        run.upstream.retry_budget.earn(len(run.shards))
 
     def release(self, run: QueryRun) -> None:
         """Send what was held back behind the canaries."""
@@ -108,7 +108,9 @@
 
     def _why_no_server(self, state: ShardState) -> str:
         reasons = {
-            reason for server in state.plan.replicas for reason in server.why_not(self._state.now)
+            reason
+            for server in state.plan.replicas
+            for reason in server.restrictions(self._state.now)
         }
         return "no server: " + (", ".join(sorted(reasons)) or "none holds it")
 
@@ -117,7 +119,7 @@
         self._send(run, state)
         self._settle(run)
 
-    def answered(self, run: QueryRun, state: ShardState, answer: ShardAnswer) -> None:
+    def on_answer(self, run: QueryRun, state: ShardState, answer: ShardAnswer) -> None:
         """Take an attempt's answer."""
         core = self._state
         was_open = not state.closed
@@ -136,7 +138,9 @@
                 return
         self._settle(run)
 
-    def failed(self, run: QueryRun, state: ShardState, fault: AttemptFault, server_id: str) -> None:
+    def on_failure(
+        self, run: QueryRun, state: ShardState, fault: AttemptFault, server_id: str
+    ) -> None:
         """Take an attempt that came to nothing."""
         core = self._state
         if fault not in NOT_RUN_FAULTS:
@@ -169,7 +173,7 @@
             # whether the lost servers crashed.
             return run.canary
         free = fault in (AttemptFault.NOT_SENT, AttemptFault.DRAINING) and untried
-        if not free and not run.upstream.retries.spend():
+        if not free and not run.upstream.retry_budget.spend():
             return False
         self._send(run, self._next_canary(run, state, fault))
         return True
@@ -208,7 +212,7 @@
             core.effects.append(FetchShardMap(run.upstream.name))
             core.timers.add(core.now + core.policy.map_wait_ms, TimerKind.MAP, run)
 
-    def map_changed(self, run: QueryRun) -> None:
+    def on_shard_map_change(self, run: QueryRun) -> None:
         """Plan a query anew if it waits for a newer shard map."""
         if run.waits_for_map and run.replans == 0 and not self._replan(run):
             self.map_late(run)
@@ -279,7 +283,7 @@
         """
         patience = self._canary_patience(run)
         sent = [a.sent_at for state in run.shards for a in state.attempts.values()]
-        room = self._dispatcher.pacer.has_room
+        room = self._dispatcher.pacer.may_send
         if not sent and any(state.waiting and not room(run, state) for state in run.shards):
             run.canary_held = True
             return self._state.now + patience
@@ -316,7 +320,7 @@
             return
         self._end_canaries(run)
 
-    def wake(self, run: QueryRun, kind: TimerKind) -> None:
+    def on_timer(self, run: QueryRun, kind: TimerKind) -> None:
         """Look at a query whose timer has come up."""
         match kind:
             case TimerKind.DEADLINE | TimerKind.EARLY_FINISH:
@@ -331,7 +335,7 @@
             case _:
                 pass
 
-    def drop(self, run: QueryRun) -> None:
+    def end(self, run: QueryRun) -> None:
         """End a query and cancel whatever of it is still out."""
         run.ended = True
         self._state.runs.pop(run.query, None)
@@ -349,10 +353,10 @@
     def _finish(self, run: QueryRun) -> None:
         if run.ended:
             return
-        self.drop(run)
+        self.end(run)
         core = self._state
         nothing = run.covered_documents == 0 and run.shard_map.documents > 0
-        run.upstream.queries.record(core.now - run.admitted_at)
+        run.upstream.query_latencies.record(core.now - run.admitted_at)
         if not nothing and run.coverage >= run.serve.min_coverage:
             core.effects.append(Finish(run.query, run.outcome(core.revision)))
             return
--- a/src/alderhatch/core/forwarding/run_trace.py
+++ b/src/alderhatch/core/forwarding/run_trace.py
@@ -53,7 +53,7 @@
         upstream = shard.upstream
         is_first = kind is DecisionKind.SEND
         budget = -1.0 if is_first else self._table.budget_level(upstream, now)
-        age = now - target.others_at if target.others_at > NEVER else -1.0
+        age = now - target.other_load_at if target.other_load_at > NEVER else -1.0
         load = target.load(now)
         candidates = self._table.usable(upstream, now)
         self.decisions.append(
--- a/src/alderhatch/core/forwarding/target.py
+++ b/src/alderhatch/core/forwarding/target.py
@@ -32,9 +32,9 @@
     )
 
     def __init__(
-        self, upstream: str, server: Server, typical: LatencyHistogram, policy: Policy
+        self, upstream: str, server: Server, upstream_latencies: LatencyHistogram, policy: Policy
     ) -> None:
-        super().__init__(server, typical, policy)
+        super().__init__(server, upstream_latencies, policy)
         self.upstream = upstream
         self._trouble = 0.0
         self._trouble_at: Millis = NEVER
@@ -49,13 +49,13 @@
         self.outstanding: dict[int, Millis] = {}
         """When each request that is out there was sent, oldest first."""
 
-    def barred(self, now: Millis) -> bool:
+    def is_unavailable(self, now: Millis) -> bool:
         """Return whether it must get nothing now, also because it is cold and got its share."""
-        return super().barred(now) or self.cold.closed(now)
+        return super().is_unavailable(now) or self.cold.closed(now)
 
-    def doubtful(self, now: Millis) -> bool:
+    def is_last_resort(self, now: Millis) -> bool:
         """Return whether it is asked only if no other replica is there."""
-        return super().doubtful(now) or now < self.cold.may_until
+        return super().is_last_resort(now) or now < self.cold.may_until
 
     def take_warm_up(self, warm_up: Millis, now: Millis) -> None:
         """Take the list's word of how much longer it is cold, if that is new."""
@@ -65,7 +65,7 @@
         self.cold.until = now + warm_up if warm_up > 0 else NEVER
         self.cold.may_until = NEVER
         if warm_up > 0:
-            self.saw_start(now - max(0.0, self.policy.slow_start_ms - warm_up))
+            self.record_start(now - max(0.0, self.policy.slow_start_ms - warm_up))
 
     def may_be_cold(self, now: Millis) -> None:
         """Treat it as cold until the list would have said so."""
@@ -104,4 +104,4 @@
         if not self.outstanding:
             return False
         oldest = next(iter(self.outstanding.values()))
-        return now - oldest > max(MIN_STALL, STALL_FACTOR * self.typical.median)
+        return now - oldest > max(MIN_STALL, STALL_FACTOR * self.upstream_latencies.median)
--- a/src/alderhatch/core/forwarding/target_table.py
+++ b/src/alderhatch/core/forwarding/target_table.py
@@ -246,17 +246,17 @@
         counts = {"usable": 0, "doubtful": 0, "barred": 0}
         for upstream in self._upstreams.values():
             for target in upstream.targets.values():
-                if target.barred(now):
+                if target.is_unavailable(now):
                     counts["barred"] += 1
                 else:
-                    counts["doubtful" if target.doubtful(now) else "usable"] += 1
+                    counts["doubtful" if target.is_last_resort(now) else "usable"] += 1
         return counts
 
     # Which one is asked
 
     def usable(self, name: str, now: Millis) -> int:
         """Return how many servers of an upstream could be asked now."""
-        return sum(1 for one in self.upstream(name).targets.values() if not one.barred(now))
+        return sum(1 for one in self.upstream(name).targets.values() if not one.is_unavailable(now))
 
     def choose_sound(
         self,
@@ -271,7 +271,7 @@
         budget.
         """
         target = self.choose(name, excluded, now, only)
-        if target is None or target.doubtful(now) or target.stands_still(now):
+        if target is None or target.is_last_resort(now) or target.stands_still(now):
             return None
         return target
 
@@ -324,7 +324,7 @@
         policy = self.policy
         is_owned = upstream.owned_from is not None
         factor = policy.owner_near_factor if is_owned else policy.near_factor
-        near_enough = factor * upstream.latencies.median
+        other_zone_floor = factor * upstream.latencies.median
         for among in (moving, targets):
             found = choose_replica(
                 among,
@@ -333,7 +333,7 @@
                 cost,
                 now,
                 self._rng,
-                near_enough=near_enough,
+                other_zone_floor=other_zone_floor,
             )
             if isinstance(found, Target):
                 return found
@@ -405,8 +405,8 @@
         """Take note of an answer and how long it took."""
         target.answered_at = now
         target.count_outcome(False, now)
-        target.saw_answer(span, load, now)
-        target.typical.record(span)
+        target.record_answer(span, load, now)
+        target.upstream_latencies.record(span)
 
     def abandoned(self, target: Target, sent_at: Millis, now: Millis) -> None:
         """Take note of a request that was given up before its answer came.
@@ -415,7 +415,7 @@
         sent elsewhere, and the first is given up. Without this it would look idle, and be asked
         again and again, until the platform's list drops it some seconds later.
         """
-        target.saw_latency(now - sent_at, now)
+        target.record_latency(now - sent_at, now)
         if now - sent_at >= SILENT_AFTER and target.answered_at < sent_at:
             # Once its ejection is over, a dark server of the host's own zone would be asked first
             # again and again; as a fault, its silence sends the next requests elsewhere.
@@ -430,9 +430,9 @@
         target.count_outcome(True, now)
         match fault:
             case AttemptFault.SHED:
-                target.saw_shed(retry_after, now)
+                target.record_shed(retry_after, now)
             case AttemptFault.DRAINING | AttemptFault.MOVED:
-                target.saw_draining(now)
+                target.record_draining(now)
             case _:
                 self._eject_after_failures(target, fault, now)
 
--- a/src/alderhatch/core/latency_histogram.py
+++ b/src/alderhatch/core/latency_histogram.py
@@ -6,7 +6,7 @@
 
 from ..clock import Millis
 
-LOWEST: Millis = 0.05
+MIN_LATENCY_MS: Millis = 0.05
 GROWTH = 1.08
 BUCKETS = 190
 """Up to 0.05 ms * 1.08 ** 190, which is about 110 s."""
@@ -41,13 +41,13 @@
         return self._total
 
     @property
-    def fastest(self) -> Millis:
+    def p05(self) -> Millis:
         """A latency that only 5 % of the samples are below; 0 before the first sample."""
         return self.quantile(0.05) if self._total >= 1.0 else 0.0
 
     def record(self, latency: Millis) -> None:
         """Count one latency."""
-        index = int(log(latency / LOWEST) / _LOG_GROWTH) if latency > LOWEST else 0
+        index = int(log(latency / MIN_LATENCY_MS) / _LOG_GROWTH) if latency > MIN_LATENCY_MS else 0
         self._counts[min(index, BUCKETS - 1)] += 1.0
         self._total += 1.0
         self._since_refresh += 1
@@ -81,5 +81,5 @@
         for index, count in enumerate(self._counts):
             seen += count
             if seen >= wanted and count:
-                return LOWEST * GROWTH ** (index + 1)
-        return LOWEST * GROWTH**BUCKETS
+                return MIN_LATENCY_MS * GROWTH ** (index + 1)
+        return MIN_LATENCY_MS * GROWTH**BUCKETS
--- a/src/alderhatch/core/owners.py
+++ b/src/alderhatch/core/owners.py
@@ -8,7 +8,7 @@
 from xxhash import xxh3_64_intdigest
 
 
-class EntryPlace(NamedTuple):
+class EntryLocation(NamedTuple):
     """An entry and its availability zone."""
 
     name: str
@@ -31,7 +31,7 @@
 
 
 def owners_of(
-    server_id: str, zone: str, entries: Sequence[EntryPlace], wanted: int | None = None
+    server_id: str, zone: str, entries: Sequence[EntryLocation], wanted: int | None = None
 ) -> tuple[str, ...]:
     """Return the entries that hold connections to a server.
 
@@ -50,7 +50,7 @@
     return tuple(ordered if wanted is None else ordered[:wanted])
 
 
-class OwnerPlan:
+class OwnerAssignment:
     """The owners of every server, as they follow from one roster and one number of owners.
 
     Args:
@@ -58,7 +58,7 @@
         wanted: How many owners a server has, if there are as many entries.
     """
 
-    def __init__(self, entries: Iterable[EntryPlace], wanted: int) -> None:
+    def __init__(self, entries: Iterable[EntryLocation], wanted: int) -> None:
         self._entries = tuple(sorted(entries))
         self._wanted = wanted
         self._owners: dict[tuple[str, str, int], tuple[str, ...]] = {}
--- a/src/alderhatch/core/pacer.py
+++ b/src/alderhatch/core/pacer.py
@@ -30,7 +30,7 @@
         self._servers: dict[str, ServerView] = {}
         """The servers in the heap, by id."""
 
-    def has_room(self, run: Run, shard: ShardState, taken: int = 0) -> bool:
+    def may_send(self, run: Run, shard: ShardState, taken: int = 0) -> bool:
         """Return whether a shard request may go to a server as far as its class goes.
 
         Args:
@@ -46,13 +46,13 @@
         for server in shard.plan.replicas:
             if server.next_low_at > now:
                 return False
-            out += server.low_in_flight
+            out += server.lower_priority_in_flight
             slots += server.slots
         return out + taken < slots * gate.window
 
-    def sent(self, run: Run, shard: ShardState, server: ServerView) -> None:
+    def record_send(self, run: Run, shard: ShardState, server: ServerView) -> None:
         """Count a shard request that is not urgent, and set the pause after it."""
-        server.low_in_flight += 1
+        server.lower_priority_in_flight += 1
         gate = run.gate
         if gate is None or not gate.pressed:
             return
@@ -63,7 +63,7 @@
             for other in shard.plan.replicas:
                 other.next_low_at = at
 
-    def wake_for(self, server: ServerView) -> None:
+    def schedule_recheck(self, server: ServerView) -> None:
         """Have a server looked at again when its pause ends."""
         at = server.next_low_at
         if at > self._state.now and server.server_id not in self._servers:
@@ -71,7 +71,7 @@
             heapq.heappush(self._due, (at, server.server_id))
             self._state.timers.add(at, TimerKind.PACED, None)
 
-    def due(self) -> list[ServerView]:
+    def take_due(self) -> list[ServerView]:
         """Take out and return the servers whose pause has ended."""
         ended: list[ServerView] = []
         while self._due and self._due[0][0] <= self._state.now:
--- a/src/alderhatch/core/replica_choice.py
+++ b/src/alderhatch/core/replica_choice.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-NEAR = 0.02
+TIE_TOLERANCE = 0.02
 """Estimates that differ by less than this ratio are equal; chance decides between them."""
 
 
@@ -23,7 +23,7 @@
     now: Millis,
     rng: Random,
     alone: bool = False,
-    near_enough: Millis = 0.0,
+    other_zone_floor: Millis = 0.0,
 ) -> ServerView | None:
     """Return the replica that is likely to answer first.
 
@@ -35,8 +35,8 @@
         now: The present time.
         rng: Decides between equals.
         alone: Whether servers that run a suspected body are left out.
-        near_enough: What a replica in another zone is held to take at least. A near one that is
-            quicker than that is chosen however quick the far one is.
+        other_zone_floor: The lowest cost of a replica in another zone, in milliseconds. A replica
+            in the preferred zone that is faster than this wins over any other zone.
 
     Returns:
         The replica; doubtful ones only if there is no other; None if none can be asked now.
@@ -45,23 +45,27 @@
     best_cost = 0.0
     best_doubtful = True
     for server in replicas:
-        if server.in_flight >= server.cap or server.server_id in excluded or server.barred(now):
+        if (
+            server.in_flight >= server.cap
+            or server.server_id in excluded
+            or server.is_unavailable(now)
+        ):
             continue
-        if alone and server.suspects:
+        if alone and server.suspect_attempts:
             continue
-        doubtful = server.doubtful(now)
-        if doubtful and not best_doubtful:
+        is_last_resort = server.is_last_resort(now)
+        if is_last_resort and not best_doubtful:
             continue
         cost = server.estimate(now)
         if server.zone != zone:
-            cost = max(cost + zone_cost, near_enough)
-        if best is not None and doubtful is best_doubtful:
-            if -NEAR * cost <= cost - best_cost <= NEAR * cost:
+            cost = max(cost + zone_cost, other_zone_floor)
+        if best is not None and is_last_resort is best_doubtful:
+            if -TIE_TOLERANCE * cost <= cost - best_cost <= TIE_TOLERANCE * cost:
                 if rng.random() < 0.5:
                     continue
             elif cost > best_cost:
                 continue
         best = server
         best_cost = cost
-        best_doubtful = doubtful
+        best_doubtful = is_last_resort
     return best
--- a/src/alderhatch/core/rule.py
+++ b/src/alderhatch/core/rule.py
@@ -12,7 +12,7 @@
 from .priority import Priority
 from .request import Request
 
-MAX_DEADLINE: Millis = 600_000.0
+MAX_DEADLINE_MS: Millis = 600_000.0
 
 
 def _one_or_many(value: object) -> object:
@@ -106,9 +106,9 @@
     """The fraction of documents that is wanted; once reached, stragglers get ``straggler_ms``."""
     min_coverage: Annotated[float, Strict(), Field(ge=0, le=1)] = 0.0
     """An answer that covers less than this is an error to the caller."""
-    deadline_ms: Annotated[Millis, Strict(), Field(gt=0, le=MAX_DEADLINE)] = 1000.0
+    deadline_ms: Annotated[Millis, Strict(), Field(gt=0, le=MAX_DEADLINE_MS)] = 1000.0
     """The longest time to an answer; a caller may ask for less."""
-    straggler_ms: Annotated[Millis, Strict(), Field(ge=0, le=MAX_DEADLINE)] = 0.0
+    straggler_ms: Annotated[Millis, Strict(), Field(ge=0, le=MAX_DEADLINE_MS)] = 0.0
     """How long to wait for more once the coverage wanted is reached."""
     priority: Priority | None = None
     """The class the request gets; its own if none is given."""
--- a/src/alderhatch/core/run.py
+++ b/src/alderhatch/core/run.py
@@ -41,9 +41,9 @@
         """The pinned map; every attempt reads its snapshot."""
         self.started_at = now
         self.admitted_at = now
-        self.span = min(serve.deadline_ms, request.deadline_ms or serve.deadline_ms)
+        self.time_budget = min(serve.deadline_ms, request.deadline_ms or serve.deadline_ms)
         """From its arrival to its deadline."""
-        self.deadline = now + self.span
+        self.deadline = now + self.time_budget
         self.priority: Priority = serve.priority or request.priority
         self.rank = self.priority.rank
         self.any_zone = serve.zone is ZonePreference.ANY_ZONE
--- a/src/alderhatch/core/server_table.py
+++ b/src/alderhatch/core/server_table.py
@@ -27,9 +27,9 @@
     def __init__(self, name: str, policy: Policy) -> None:
         self.name = name
         self.latencies = LatencyHistogram(policy.first_latency_ms)
-        self.queries = LatencyHistogram(policy.first_latency_ms)
+        self.query_latencies = LatencyHistogram(policy.first_latency_ms)
         """The times of whole queries from admission to answer."""
-        self.retries = RatioBudget(policy.retry_share, policy.retry_burst, policy.retry_burst)
+        self.retry_budget = RatioBudget(policy.retry_share, policy.retry_burst, policy.retry_burst)
         """Bounds retries to a fraction of the upstream's shard requests."""
         self.shard_map: ShardMap | None = None
         self.plans: tuple[ShardPlan, ...] = ()
@@ -53,7 +53,7 @@
         view = self.upstreams.get(upstream)
         return None if view is None or view.shard_map is None else view.shard_map.snapshot
 
-    def adopt(self, shard_map: ShardMap, now: Millis) -> bool:
+    def update_shard_map(self, shard_map: ShardMap, now: Millis) -> bool:
         """Take a shard map; return False if it tells nothing new, or is not to be believed.
 
         A map of the snapshot that is known may place its shards on other servers, as when a
@@ -107,7 +107,7 @@
         """Bound the retries of each upstream to this fraction of its shard requests."""
         self._policy = self._policy._replace(retry_share=share)
         for view in self.upstreams.values():
-            view.retries.ratio = share
+            view.retry_budget.ratio = share
 
     def set_shares(self, shares: Mapping[str, int]) -> None:
         """Take the shares of connections that came with the lease."""
@@ -129,7 +129,7 @@
         server = self.servers.get(server_id)
         return None if server is None else server.boot_id
 
-    def take_health(self, event: HealthReported, now: Millis) -> bool:
+    def apply_health(self, event: HealthReported, now: Millis) -> bool:
         """Take what a health endpoint says; return whether the server was started anew."""
         server = self.servers.get(event.server_id)
         if server is None:
@@ -141,14 +141,14 @@
         )
         was_starting = server.health is ServerState.STARTING
         if restarted or (was_starting and event.state is ServerState.READY):
-            server.saw_start(now)
+            server.record_start(now)
         server.boot_id = event.boot_id or server.boot_id
         server.health = event.state
         if event.load is not None:
-            server.saw_report(event.load, now)
+            server.record_load(event.load, now)
         return restarted
 
-    def fail(self, upstream: str, server: ServerView, now: Millis) -> None:
+    def record_failure(self, upstream: str, server: ServerView, now: Millis) -> None:
         """Count a failure of a server; eject it after some in a row, within the cap."""
         server.failures += 1
         if server.failures < self._policy.eject_failures or now < server.ejected_until:
--- a/src/alderhatch/core/server_view.py
+++ b/src/alderhatch/core/server_view.py
@@ -35,32 +35,34 @@
         "latency",
         "latency_at",
         "leaving",
-        "low_in_flight",
-        "misses",
+        "lower_priority_in_flight",
+        "mean_other_load",
         "next_low_at",
-        "others",
-        "others_at",
-        "others_mean",
+        "other_load",
+        "other_load_at",
         "policy",
+        "report_mismatch",
         "server",
         "server_id",
         "share",
         "shed_until",
         "silent_at",
         "slots",
-        "suspects",
-        "typical",
+        "suspect_attempts",
+        "upstream_latencies",
         "zone",
     )
 
-    def __init__(self, server: Server, typical: LatencyHistogram, policy: Policy) -> None:
+    def __init__(
+        self, server: Server, upstream_latencies: LatencyHistogram, policy: Policy
+    ) -> None:
         self.server_id = server.server_id
         self.policy = policy
-        self.typical = typical
+        self.upstream_latencies = upstream_latencies
         """The latencies of all servers of the upstream."""
         self.in_flight = 0
         """Attempts of this entry that are out."""
-        self.low_in_flight = 0
+        self.lower_priority_in_flight = 0
         """Those of them that are not urgent."""
         self.next_low_at: Millis = NEVER
         """When the next one that is not urgent may be sent while the upstream is overloaded."""
@@ -71,12 +73,12 @@
         self.cap = self.adaptive_cap
         """How many attempts of this entry may be out there: the lower of the two."""
         self.describe(server)
-        self.others = 0.0
+        self.other_load = 0.0
         """Load of other entries by its last report."""
-        self.others_at: Millis = NEVER
-        self.others_mean = 0.0
+        self.other_load_at: Millis = NEVER
+        self.mean_other_load = 0.0
         """Its moving mean, which an old report fades into."""
-        self.misses = 0.0
+        self.report_mismatch = 0.0
         """How often, lately, its report disagreed with the latency that was seen."""
         self.latency: Millis = 0.0
         """A moving mean; 0 until there is a sample."""
@@ -93,7 +95,7 @@
         self.failures = 0
         """Failures in a row."""
         self.silent_at: Millis = NEVER
-        self.suspects = 0
+        self.suspect_attempts = 0
         """Attempts out there whose body may have crashed another server."""
 
     def describe(self, server: Server) -> None:
@@ -111,11 +113,11 @@
         self.adaptive_cap = min(cap, float(self.server.max_connections))
         self.cap = min(self.share, self.adaptive_cap)
 
-    def barred(self, now: Millis) -> bool:
+    def is_unavailable(self, now: Millis) -> bool:
         """Return whether it must get nothing now, whatever the other replicas are like."""
         return bool(self.leaving) or now < self.shed_until or now < self.drained_until
 
-    def doubtful(self, now: Millis) -> bool:
+    def is_last_resort(self, now: Millis) -> bool:
         """Return whether it is asked only if no other replica is there.
 
         A health endpoint can be wrong in both directions. Taken at its word it could empty a
@@ -125,13 +127,15 @@
 
     def load(self, now: Millis) -> float:
         """Return the requests that it is held to have: our own and those reported of others."""
-        if self.misses >= DISTRUST_AT:
+        if self.report_mismatch >= DISTRUST_AT:
             return float(self.in_flight)
-        age = now - self.others_at
+        age = now - self.other_load_at
         if age >= self.policy.report_age_ms:
-            return self.in_flight + self.others_mean
+            return self.in_flight + self.mean_other_load
         fresh = 1.0 - age / self.policy.report_age_ms
-        return self.in_flight + self.others_mean + (self.others - self.others_mean) * fresh
+        return (
+            self.in_flight + self.mean_other_load + (self.other_load - self.mean_other_load) * fresh
+        )
 
     def estimate(self, now: Millis) -> Millis:
         """Return how long a request sent now is likely to take, in milliseconds."""
@@ -140,9 +144,9 @@
         if not latency:
             # Held to be as slow as the one replica that was asked so far, a server without a
             # sample would never be asked, however slow that one is.
-            latency = min(self.policy.first_latency_ms, self.typical.median)
+            latency = min(self.policy.first_latency_ms, self.upstream_latencies.median)
         elif idle > self.policy.report_age_ms:
-            typical = self.typical.median
+            typical = self.upstream_latencies.median
             fade = 0.5 ** (idle / self.policy.latency_half_life_ms)
             latency = typical + (latency - typical) * fade
         span = latency * (1.0 + self.load(now) / self.slots)
@@ -153,7 +157,7 @@
             )
         return span
 
-    def saw_answer(self, latency: Millis, load: LoadReport | None, now: Millis) -> None:
+    def record_answer(self, latency: Millis, load: LoadReport | None, now: Millis) -> None:
         """Count an answer; the attempt is no longer counted in ``in_flight``."""
         self.failures = 0
         self.ejections = 0
@@ -163,31 +167,31 @@
             self._adapt(self.adaptive_cap + 0.1)
         if load is not None:
             self._check_report(latency, load)
-            self.saw_report(load, now)
-        self.saw_latency(latency, now)
+            self.record_load(load, now)
+        self.record_latency(latency, now)
 
-    def saw_latency(self, latency: Millis, now: Millis) -> None:
+    def record_latency(self, latency: Millis, now: Millis) -> None:
         """Count a latency, or for a cancelled attempt the time that it had taken so far."""
-        clipped = min(latency, CLIP * self.typical.median)
+        clipped = min(latency, CLIP * self.upstream_latencies.median)
         if not self.latency:
             self.latency = clipped
         else:
             self.latency += self.policy.latency_weight * (clipped - self.latency)
         self.latency_at = now
 
-    def saw_report(self, load: LoadReport, now: Millis) -> None:
+    def record_load(self, load: LoadReport, now: Millis) -> None:
         """Take a reported load."""
         others = load.in_flight + load.queued - self.in_flight
-        self.others = float(others) if others > 0 else 0.0
-        self.others_mean += 0.1 * (self.others - self.others_mean)
-        self.others_at = now
+        self.other_load = float(others) if others > 0 else 0.0
+        self.mean_other_load += 0.1 * (self.other_load - self.mean_other_load)
+        self.other_load_at = now
 
     def _check_report(self, latency: Millis, load: LoadReport) -> None:
         # A report that lags or lies draws all requests to a server that is slow; it shows as a
         # latency far from what the report lets expect. Such reports are left out of the estimate.
-        expected = self.typical.median * (1.0 + load.queued / self.slots)
+        expected = self.upstream_latencies.median * (1.0 + load.queued / self.slots)
         wrong = latency > DISTRUST_RATIO * expected or latency * DISTRUST_RATIO < expected
-        self.misses += DISTRUST_WEIGHT * (float(wrong) - self.misses)
+        self.report_mismatch += DISTRUST_WEIGHT * (float(wrong) - self.report_mismatch)
 
     def eject(self, now: Millis) -> None:
         """Leave it alone for a while, for twice as long each time until it answers."""
@@ -195,28 +199,28 @@
         self.ejected_until = now + min(span, self.policy.max_eject_ms)
         self.ejections = min(self.ejections + 1, MAX_DOUBLINGS)
 
-    def saw_shed(self, retry_after: Millis | None, now: Millis) -> None:
+    def record_shed(self, retry_after: Millis | None, now: Millis) -> None:
         """Count a refusal by load."""
         span = self.policy.shed_ms if retry_after is None else retry_after
         self.shed_until = max(self.shed_until, now + min(span, self.policy.max_shed_ms))
         self._adapt(max(1.0, min(self.adaptive_cap, self.in_flight + 1.0) / 2))
 
-    def saw_draining(self, now: Millis) -> None:
+    def record_draining(self, now: Millis) -> None:
         """Count its own word that it is leaving."""
         self.drained_until = now + self.policy.drained_ms
 
-    def saw_start(self, now: Millis) -> None:
+    def record_start(self, now: Millis) -> None:
         """Note that it has just started."""
         self.cold_since = now
         self.latency = 0.0
-        self.others_at = NEVER
+        self.other_load_at = NEVER
         self.drained_until = NEVER
         self.shed_until = NEVER
         self.ejected_until = NEVER
         self.failures = 0
         self._adapt(float(self.server.max_connections))
 
-    def why_not(self, now: Millis) -> list[str]:
+    def restrictions(self, now: Millis) -> list[str]:
         """Return the reasons, if any, why it is not asked as usual."""
         reasons = [f"leaving ({source})" for source in sorted(self.leaving)]
         for held, reason in (
@@ -225,7 +229,7 @@
             (now < self.ejected_until, "ejected"),
             (self.health is not ServerState.READY, f"health says {self.health}"),
             (now - self.cold_since < self.policy.slow_start_ms, "cold"),
-            (self.misses >= DISTRUST_AT, "load report distrusted"),
+            (self.report_mismatch >= DISTRUST_AT, "load report distrusted"),
             (self.in_flight >= self.cap, "full"),
         ):
             if held:
--- a/src/alderhatch/entry/caller_api.py
+++ b/src/alderhatch/entry/caller_api.py
@@ -12,7 +12,7 @@
 from ..core.entry_events import Answered, Outcome, Refused
 from ..core.priority import Priority
 from ..core.request import Request
-from ..core.rule import MAX_DEADLINE
+from ..core.rule import MAX_DEADLINE_MS
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..http.messages import HttpRequest, HttpResponse, failure_response
 
@@ -31,7 +31,7 @@
     zone: Word
     key: Word
     priority: Priority
-    deadline_ms: Annotated[Millis, Field(gt=0, le=MAX_DEADLINE)]
+    deadline_ms: Annotated[Millis, Field(gt=0, le=MAX_DEADLINE_MS)]
     query: dict[str, Any]
 
 
