--- a/src/alderhatch/core/dispatcher.py
+++ b/src/alderhatch/core/dispatcher.py
@@ -279,7 +279,7 @@
         a query's remaining shards were sent behind its canaries, this no longer bounds it.
         """
         core = self._state
-        if not run.canary and len(run.shards) > 1:
+        if not run.canary_phase and len(run.shards) > 1:
             return True
         if core.crashes.is_safe(run.fingerprint):
             return True
--- a/src/alderhatch/core/fan_out.py
+++ b/src/alderhatch/core/fan_out.py
@@ -55,8 +55,10 @@
         # A body that crashes each server which runs it would take a replica of every shard with it
         # at once. It is seen as many connections lost in the same moment. So a body that no server
         # is known to have survived goes to a few shards first.
-        run.canary = 0 < canaries < len(run.shards) and not core.crashes.is_safe(run.fingerprint)
-        if not run.canary:
+        run.canary_phase = 0 < canaries < len(run.shards) and not core.crashes.is_safe(
+            run.fingerprint
+        )
+        if not run.canary_phase:
             self._send_all(run)
             return
         for state in self._choose_canaries(run, canaries):
@@ -91,7 +93,7 @@
 
     def release(self, run: QueryRun) -> None:
         """Send what was held back behind the canaries."""
-        run.canary = False
+        run.canary_phase = False
         self._send_all(run)
         self._settle(run)
 
@@ -132,7 +134,7 @@
             self._dispatcher.cancel(other)
         if was_open and run.gate is not None:
             run.gate.leave(run, 1)
-        if run.canary:
+        if run.canary_phase:
             self.release(run)
             if run.ended:
                 return
@@ -171,7 +173,7 @@
         if not self._dispatcher.within_crash_limit(run):
             # The shard stays open until the other canary has answered, or until it is known
             # whether the lost servers crashed.
-            return run.canary
+            return run.canary_phase
         free = fault in (AttemptFault.NOT_SENT, AttemptFault.DRAINING) and untried
         if not free and not run.upstream.retry_budget.spend():
             return False
@@ -184,7 +186,7 @@
         The body may have crashed the server. Sent to the other replica of the same shard, it could
         take the whole shard out, seen as coverage missing from every answer until a restart.
         """
-        if not run.canary or fault is not AttemptFault.LOST:
+        if not run.canary_phase or fault is not AttemptFault.LOST:
             return state
         unasked = [other for other in run.shards if not other.tried and not other.closed]
         return self._state.rng.choice(unasked) if unasked else state
@@ -260,7 +262,7 @@
         if run.open == 0:
             self._finish(run)
             return
-        if run.canary and not run.attempts_out and not self._any_waiting(run):
+        if run.canary_phase and not run.attempts_out and not self._any_waiting(run):
             # Whether the servers crashed, or many were lost at the same moment, shows a little
             # later: they are being probed.
             run.verdict_by = run.verdict_by or self._state.now + VERDICT_WITHIN
@@ -272,7 +274,7 @@
                 self._finish(run)
                 return
             self._state.timers.add(run.early_finish, TimerKind.EARLY_FINISH, run)
-        if not run.canary:
+        if not run.canary_phase:
             self._hedging.look(run)
 
     def _held_until(self, run: QueryRun) -> Millis:
@@ -304,7 +306,7 @@
         self._finish(run)
 
     def _canaries_late(self, run: QueryRun) -> None:
-        if not run.canary:
+        if not run.canary_phase:
             return
         again = self._held_until(run)
         if again > self._state.now:
--- a/src/alderhatch/core/hedging.py
+++ b/src/alderhatch/core/hedging.py
@@ -96,7 +96,7 @@
         """Hedge the shards of a query that are late, as far as the budget goes."""
         core = self._state
         # A timer that was replaced by an earlier one comes up too; it finds nothing due.
-        if run.hedge_at is None or run.hedge_at > core.now or run.canary:
+        if run.hedge_at is None or run.hedge_at > core.now or run.canary_phase:
             return
         run.hedge_at = None
         first, again = self._delays(run)
--- a/src/alderhatch/core/query_run.py
+++ b/src/alderhatch/core/query_run.py
@@ -36,7 +36,7 @@
         """When the stragglers' time is up, once the coverage wanted is reached."""
         self.hedge_at: Millis | None = None
         """When a timer will look for shards to hedge."""
-        self.canary = False
+        self.canary_phase = False
         """Whether only the first few shards have been asked yet."""
         self.canary_held = False
         """Whether those had to wait at the entry under overload."""
