--- a/src/alderhatch/core/latency_histogram.py
+++ b/src/alderhatch/core/latency_histogram.py
@@ -1,4 +1,4 @@
-"""Quantiles of the latencies seen lately."""
+"""Quantiles of recent latencies."""
 
 from __future__ import annotations
 
@@ -7,79 +7,83 @@
 from ..clock import Millis
 
 MIN_LATENCY_MS: Millis = 0.05
-GROWTH = 1.08
-BUCKETS = 190
-"""Up to 0.05 ms * 1.08 ** 190, which is about 110 s."""
-FORGET_AT = 1000.0
-"""With this many samples all counts are halved, so that older ones weigh less."""
-REFRESH_EVERY = 64
-PARTS = 1000
-"""Quantiles are told apart by this fraction."""
+BUCKET_RATIO = 1.08
+BUCKET_COUNT = 190
+"""The buckets reach up to 0.05 ms * 1.08 ** 190, about 110 s."""
+HALVE_AT_SAMPLES = 1000.0
+"""At this many samples all counts are halved, so that older samples weigh less."""
+REFRESH_INTERVAL_SAMPLES = 64
+QUANTILE_STEPS = 1000
+"""Quantiles are rounded to one part in this many."""
 
-_LOG_GROWTH = log(GROWTH)
+_LOG_BUCKET_RATIO = log(BUCKET_RATIO)
 
 
 class LatencyHistogram:
-    """A histogram with buckets of a constant ratio; older samples fade.
+    """A histogram with exponentially growing buckets and decaying counts.
 
     Args:
-        first: What every quantile is held to be before the first sample.
+        initial: The value of every quantile before the first sample.
     """
 
-    def __init__(self, first: Millis) -> None:
-        self._counts = [0.0] * BUCKETS
+    def __init__(self, initial: Millis) -> None:
+        self._counts = [0.0] * BUCKET_COUNT
         self._total = 0.0
-        self._first = first
-        self._since_refresh = REFRESH_EVERY
+        self._initial = initial
+        self._since_refresh = REFRESH_INTERVAL_SAMPLES
         self._cache: dict[int, Millis] = {}
-        self.median = first
-        """The median, as of some dozens of samples ago at most."""
+        self.median = initial
+        """The median, recomputed every ``REFRESH_INTERVAL_SAMPLES`` samples."""
 
     @property
     def samples(self) -> float:
-        """How many samples there are; older ones count for less."""
+        """The number of samples; older ones count for less."""
         return self._total
 
     @property
     def p05(self) -> Millis:
-        """A latency that only 5 % of the samples are below; 0 before the first sample."""
+        """The 5th percentile of the latencies; 0 before the first sample."""
         return self.quantile(0.05) if self._total >= 1.0 else 0.0
 
     def record(self, latency: Millis) -> None:
-        """Count one latency."""
-        index = int(log(latency / MIN_LATENCY_MS) / _LOG_GROWTH) if latency > MIN_LATENCY_MS else 0
-        self._counts[min(index, BUCKETS - 1)] += 1.0
+        """Add one latency."""
+        index = (
+            int(log(latency / MIN_LATENCY_MS) / _LOG_BUCKET_RATIO)
+            if latency > MIN_LATENCY_MS
+            else 0
+        )
+        self._counts[min(index, BUCKET_COUNT - 1)] += 1.0
         self._total += 1.0
         self._since_refresh += 1
-        if self._since_refresh >= REFRESH_EVERY:
+        if self._since_refresh >= REFRESH_INTERVAL_SAMPLES:
             self._refresh()
 
     def _refresh(self) -> None:
         self._since_refresh = 0
         self._cache.clear()
-        if self._total >= FORGET_AT:
+        if self._total >= HALVE_AT_SAMPLES:
             self._counts = [count / 2 for count in self._counts]
             self._total /= 2
         self.median = self.quantile(0.5)
 
-    def quantile(self, share: float) -> Millis:
-        """Return the latency that this share of the samples does not exceed, within 8 %.
+    def quantile(self, fraction: float) -> Millis:
+        """Return the latency that this fraction of the samples does not exceed, within 8 %.
 
-        The value is worked out anew after some dozens of samples only.
+        Values are cached and recomputed every ``REFRESH_INTERVAL_SAMPLES`` samples.
         """
         if self._total < 1.0:
-            return self._first
-        key = int(share * PARTS + 0.5)
-        known = self._cache.get(key)
-        if known is None:
-            known = self._cache[key] = self._find(key / PARTS)
-        return known
-
-    def _find(self, share: float) -> Millis:
-        wanted = share * self._total
-        seen = 0.0
+            return self._initial
+        step = int(fraction * QUANTILE_STEPS + 0.5)
+        cached = self._cache.get(step)
+        if cached is None:
+            cached = self._cache[step] = self._compute_quantile(step / QUANTILE_STEPS)
+        return cached
+
+    def _compute_quantile(self, fraction: float) -> Millis:
+        target = fraction * self._total
+        cumulative = 0.0
         for index, count in enumerate(self._counts):
-            seen += count
-            if seen >= wanted and count:
-                return MIN_LATENCY_MS * GROWTH ** (index + 1)
-        return MIN_LATENCY_MS * GROWTH**BUCKETS
+            cumulative += count
+            if cumulative >= target and count:
+                return MIN_LATENCY_MS * BUCKET_RATIO ** (index + 1)
+        return MIN_LATENCY_MS * BUCKET_RATIO**BUCKET_COUNT
--- a/src/alderhatch/core/outcome_codec.py
+++ b/src/alderhatch/core/outcome_codec.py
@@ -1,4 +1,4 @@
-"""The bytes in which the run ledger stores an outcome, for resends at any entry."""
+"""Encodes outcomes for the run ledger, so that any entry can answer a resend."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def encode_outcome(outcome: Outcome) -> bytes:
-    """Return the bytes of an outcome."""
+    """Encode an outcome as CBOR."""
     match outcome:
         case Answered():
             fields: list[Any] = [
@@ -33,7 +33,7 @@
 
 
 def decode_outcome(data: bytes) -> Outcome | None:
-    """Return the outcome that the bytes stand for, or None if they stand for none."""
+    """Decode an outcome; return None if the bytes are not a valid one."""
     try:
         fields = cbor2.loads(data)
         return _from_fields(fields)
--- a/src/alderhatch/core/owners.py
+++ b/src/alderhatch/core/owners.py
@@ -1,4 +1,4 @@
-"""Which entries own the connections to a server."""
+"""Assigns the entries that own the connections to each server."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     """Order names for a key by rendezvous hashing.
 
     Args:
-        key: What is to be placed.
-        names: The candidates; taking one out moves only the keys that it had.
+        key: The key to place.
+        names: The candidates. Removing one moves only the keys for which it came first.
 
     Returns:
-        The names, the first choice first.
+        The names in order of preference.
     """
     return sorted(
         names, key=lambda name: xxh3_64_intdigest(f"{key}\0{name}".encode()), reverse=True
@@ -31,54 +31,54 @@
 
 
 def owners_of(
-    server_id: str, zone: str, entries: Sequence[EntryLocation], wanted: int | None = None
+    server_id: str, zone: str, entries: Sequence[EntryLocation], count: int | None = None
 ) -> tuple[str, ...]:
     """Return the entries that hold connections to a server.
 
     Args:
         server_id: The server.
         zone: Its availability zone; entries of this zone come first.
-        entries: All entries that serve.
-        wanted: How many owners there are to be; None, today's choice, makes every entry one.
+        entries: All serving entries.
+        count: The number of owners; None makes every entry an owner.
 
     Returns:
-        The owners' names, the first choice first.
+        The owners' names in order of preference.
     """
     ordered = rendezvous(server_id, [entry.name for entry in entries if entry.zone == zone])
-    if wanted is None or len(ordered) < wanted:
+    if count is None or len(ordered) < count:
         ordered += rendezvous(server_id, [entry.name for entry in entries if entry.zone != zone])
-    return tuple(ordered if wanted is None else ordered[:wanted])
+    return tuple(ordered if count is None else ordered[:count])
 
 
 class OwnerAssignment:
-    """The owners of every server, as they follow from one roster and one number of owners.
+    """The owners of every server, derived from a roster and a number of owners for each server.
 
     Args:
-        entries: The entries that may own connections; the order is of no account.
-        wanted: How many owners a server has, if there are as many entries.
+        entries: The entries that may own connections, in any order.
+        count: The number of owners of a server, if there are as many entries.
     """
 
-    def __init__(self, entries: Iterable[EntryLocation], wanted: int) -> None:
+    def __init__(self, entries: Iterable[EntryLocation], count: int) -> None:
         self._entries = tuple(sorted(entries))
-        self._wanted = wanted
+        self._count = count
         self._owners: dict[tuple[str, str, int], tuple[str, ...]] = {}
         text = "\0".join(f"{name}\0{zone}" for name, zone in self._entries)
-        self.digest = xxh3_64_intdigest(f"{wanted}\0{text}".encode())
-        """The same for the same entries and number, in every process."""
+        self.digest = xxh3_64_intdigest(f"{count}\0{text}".encode())
+        """A hash of the entries and the number of owners, the same in every process."""
 
     def owners(self, server_id: str, zone: str, max_connections: int) -> tuple[str, ...]:
-        """Return a server's owners, the first choice first.
+        """Return a server's owners in order of preference.
 
         Args:
             server_id: The server.
             zone: Its availability zone.
-            max_connections: What it accepts from all entries together; there are no more owners
-                than that, as each needs one.
+            max_connections: How many connections it accepts from all entries together. It bounds
+                the number of owners, as each owner needs a connection.
         """
-        wanted = min(self._wanted, max_connections)
-        key = (server_id, zone, wanted)
-        known = self._owners.get(key)
-        if known is None:
-            known = owners_of(server_id, zone, self._entries, wanted)
-            self._owners[key] = known
-        return known
+        count = min(self._count, max_connections)
+        key = (server_id, zone, count)
+        cached = self._owners.get(key)
+        if cached is None:
+            cached = owners_of(server_id, zone, self._entries, count)
+            self._owners[key] = cached
+        return cached
--- a/src/alderhatch/core/pacer.py
+++ b/src/alderhatch/core/pacer.py
@@ -1,4 +1,4 @@
-"""Keeps the servers' queues short under overload by holding lower classes back at the entry."""
+"""Keeps server queues short under overload by pacing lower priority classes at the entry."""
 
 from __future__ import annotations
 
@@ -10,71 +10,73 @@
 from .server_view import ServerView
 from .timers import TimerKind
 
-MAX_PAUSE: Millis = 200.0
-"""The longest time between two requests of lower classes to a shard."""
+MAX_PAUSE_MS: Millis = 200.0
+"""The longest pause between two lower priority requests to a shard."""
 
 
 class Pacer:
-    """Decides whether a shard request that is not urgent may go to a server yet.
+    """Decides whether a lower priority shard request may be sent to a server yet.
 
-    Servers have one queue for all classes. Under overload what is not urgent is let into it only
-    as far as keeps the servers at work. It waits at the entry, where urgent requests pass it.
+    Servers have one queue for all priority classes. Under overload, only as many lower priority
+    requests are sent as keep the servers busy. The others wait at the entry, where urgent requests
+    overtake them.
 
-    Each shard has a window for lower classes: its part of the gate's limit. An entry's part can be
-    less than one request; then there is one at a time with a pause between two.
+    Each shard has a window for lower priority classes: its share of the limiter's limit. An entry's
+    share can be less than one request; then requests are sent one at a time with a pause between
+    them.
     """
 
     def __init__(self, state: CoreState) -> None:
         self._state = state
-        self._due: list[tuple[Millis, str]] = []
-        self._servers: dict[str, ServerView] = {}
-        """The servers in the heap, by id."""
+        self._pauses: list[tuple[Millis, str]] = []
+        self._paused: dict[str, ServerView] = {}
+        """The servers in the heap, by ID."""
 
-    def may_send(self, run: Run, shard: ShardState, taken: int = 0) -> bool:
-        """Return whether a shard request may go to a server as far as its class goes.
+    def may_send(self, run: Run, shard: ShardState, pending: int = 0) -> bool:
+        """Return whether the priority class of a shard request allows sending it now.
 
         Args:
             run: The request that it belongs to.
             shard: The shard.
-            taken: Further shard requests that are about to be sent there.
+            pending: Further shard requests that are about to be sent to the shard.
         """
         gate = run.gate
         if run.rank == 0 or gate is None or not gate.pressed:
             return True
         now = self._state.now
-        out = slots = 0
+        in_flight = slots = 0
         for server in shard.plan.replicas:
-            if server.next_low_at > now:
+            if server.next_lower_priority_at > now:
                 return False
-            out += server.lower_priority_in_flight
+            in_flight += server.lower_priority_in_flight
             slots += server.slots
-        return out + taken < slots * gate.window
+        return in_flight + pending < slots * gate.window
 
     def record_send(self, run: Run, shard: ShardState, server: ServerView) -> None:
-        """Count a shard request that is not urgent, and set the pause after it."""
+        """Count a lower priority shard request, and start the pause after it."""
         server.lower_priority_in_flight += 1
         gate = run.gate
         if gate is None or not gate.pressed:
             return
-        # Without the pause, one request of each of many entries would still be a long queue.
+        # Without the pause, one request from each of many entries would still form a long queue.
         window = gate.window * sum(other.slots for other in shard.plan.replicas)
         if window < 1.0:
-            at = self._state.now + min(MAX_PAUSE, gate.latency / window)
+            resume_at = self._state.now + min(MAX_PAUSE_MS, gate.latency / window)
             for other in shard.plan.replicas:
-                other.next_low_at = at
+                other.next_lower_priority_at = resume_at
 
     def schedule_recheck(self, server: ServerView) -> None:
-        """Have a server looked at again when its pause ends."""
-        at = server.next_low_at
-        if at > self._state.now and server.server_id not in self._servers:
-            self._servers[server.server_id] = server
-            heapq.heappush(self._due, (at, server.server_id))
-            self._state.timers.add(at, TimerKind.PACED, None)
+        """Set a timer to check a server again when its pause ends."""
+        resume_at = server.next_lower_priority_at
+        if resume_at > self._state.now and server.server_id not in self._paused:
+            self._paused[server.server_id] = server
+            heapq.heappush(self._pauses, (resume_at, server.server_id))
+            self._state.timers.add(resume_at, TimerKind.PACED, None)
 
     def take_due(self) -> list[ServerView]:
-        """Take out and return the servers whose pause has ended."""
-        ended: list[ServerView] = []
-        while self._due and self._due[0][0] <= self._state.now:
-            _, server_id = heapq.heappop(self._due)
-            ended.append(self._servers.pop(server_id))
-        return ended
+        """Remove and return the servers whose pause has ended."""
+        resumed: list[ServerView] = []
+        while self._pauses and self._pauses[0][0] <= self._state.now:
+            _, server_id = heapq.heappop(self._pauses)
+            resumed.append(self._paused.pop(server_id))
+        return resumed
--- a/src/alderhatch/core/priority.py
+++ b/src/alderhatch/core/priority.py
@@ -1,4 +1,4 @@
-"""How urgent a request is."""
+"""Priority classes of requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Priority(StrEnum):
-    """Three classes, most urgent first."""
+    """Three priority classes, most urgent first."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -14,7 +14,7 @@
 
     @property
     def rank(self) -> int:
-        """0 for the most urgent class."""
+        """The position of the class; 0 is the most urgent."""
         return _RANKS[self]
 
 
--- a/src/alderhatch/core/query_run.py
+++ b/src/alderhatch/core/query_run.py
@@ -1,4 +1,4 @@
-"""One query under way: which shards have answered, which attempts are out."""
+"""The state of one running query: the shards that answered and the attempts in flight."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class QueryRun(Run):
-    """The state of one query. It pins one shard map and never mixes answers of two."""
+    """The state of one query. It pins one shard map and never mixes answers from two of them."""
 
     def __init__(
         self,
@@ -26,62 +26,63 @@
         upstream: UpstreamView,
         shard_map: ShardMap,
         now: Millis,
-        few_share: float = 0.1,
+        few_open_share: float = 0.1,
     ) -> None:
         super().__init__(query, request, rule, serve, fingerprint, upstream, shard_map, now)
-        self.few_share = few_share
+        self.few_open_share = few_open_share
         self.replans = 0
-        self.waits_for_map = False
-        self.early_finish: Millis | None = None
-        """When the stragglers' time is up, once the coverage wanted is reached."""
+        self.waiting_for_map = False
+        self.early_finish_at: Millis | None = None
+        """When the wait for stragglers ends, once the target coverage is reached."""
         self.hedge_at: Millis | None = None
-        """When a timer will look for shards to hedge."""
+        """When the hedge timer fires."""
         self.canary_phase = False
-        """Whether only the first few shards have been asked yet."""
-        self.canary_held = False
-        """Whether those had to wait at the entry under overload."""
-        self.verdict_by: Millis = 0.0
-        """Until when probes may still show that servers lost under its canaries run on."""
-        self.any_failed = False
-        """Whether a server said that it ran the request and failed, or answered nonsense."""
+        """Whether only the canaries have been sent so far."""
+        self.canaries_delayed = False
+        """Whether the canaries had to wait at the entry under overload."""
+        self.crash_check_until: Millis = 0.0
+        """Until when probes may show that the servers lost with the canaries are still running."""
+        self.any_error_response = False
+        """Whether a server responded with an error or with an invalid answer."""
         self.pin(shard_map)
 
     def pin(self, shard_map: ShardMap) -> None:
-        """Plan over a shard map; whatever was gathered over an earlier one is dropped."""
+        """Plan the query over a shard map; discard what was gathered over an earlier one."""
         self.shard_map = shard_map
         self.shards = [ShardState(plan) for plan in self.upstream.plans]
         self.by_name = {state.plan.shard.name: state for state in self.shards}
-        self.few = max(1, int(self.few_share * len(self.shards)))
-        """So many open shards at most make it a query that waits for a few only."""
+        self.few_open_limit = max(1, int(self.few_open_share * len(self.shards)))
+        """With at most this many open shards, the query counts as waiting for only a few."""
         self.open_shards = dict.fromkeys(self.shards)
-        """Shards that have neither answered nor been given up, in the map's order."""
+        """Shards that have neither answered nor been given up, in the order of the map."""
         self.open = len(self.shards)
-        """How many these are."""
+        """The number of open shards."""
         self.covered_documents = 0
 
     @property
     def coverage(self) -> float:
-        """The fraction of the pinned map's documents that answers have covered."""
+        """The fraction of the pinned map's documents that answers cover."""
         documents = self.shard_map.documents
         return self.covered_documents / documents if documents else 1.0
 
     @property
     def attempts_out(self) -> int:
-        """How many attempts are out."""
+        """The number of attempts in flight."""
         return sum(len(state.attempts) for state in self.shards)
 
-    def take(self, answer: ShardAnswer) -> bool:
-        """Count an answer in.
+    def accept(self, answer: ShardAnswer) -> bool:
+        """Record an answer.
 
         Args:
-            answer: An answer that some attempt of this query brought.
+            answer: The answer of an attempt of this query.
 
         Returns:
-            False if it belongs to another shard or snapshot, or came twice: it changes nothing.
+            False if the answer belongs to another shard or snapshot, or is a duplicate; it is then
+            ignored.
         """
         state = self.by_name.get(answer.shard)
-        # Index versions change while queries run. Rows of another version merged in would give
-        # the caller an answer that never was true at any one time.
+        # Index versions change while queries run. If rows of two versions were merged, the caller
+        # would get an answer that was not true at any point in time.
         if state is None or answer.snapshot != self.shard_map.snapshot:
             return False
         if state.rows is not None:
@@ -93,13 +94,13 @@
         return True
 
     def close(self, state: ShardState) -> None:
-        """Note that an open shard has answered or was given up."""
+        """Mark an open shard as answered or given up."""
         state.closed = True
         self.open -= 1
         del self.open_shards[state]
 
     def outcome(self, revision: int) -> Answered:
-        """Return the answer with what is there now."""
+        """Return the answer with the rows gathered so far."""
         rows: list[Any] = []
         missing: list[MissingShard] = []
         for state in self.shards:
--- a/src/alderhatch/core/rate_limiter.py
+++ b/src/alderhatch/core/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Requests a second for each caller under each rule."""
+"""Limits the requests per second of each caller under each rule."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from ..clock import SECOND, Millis
 from .token_bucket import TokenBucket
 
-MAX_CALLERS = 10_000
-BURST: Millis = SECOND
-"""A caller that was quiet may send what its rate allows in this span at once."""
+MAX_BUCKETS = 10_000
+BURST_WINDOW_MS: Millis = SECOND
+"""A caller that was idle may send at once what its rate allows in this time."""
 
 
 class RateLimiter:
-    """Token buckets by rule and caller, bounded in number."""
+    """Token buckets by rule and caller; the least recently used ones are evicted."""
 
     def __init__(self) -> None:
         self._buckets: OrderedDict[tuple[str, str], TokenBucket] = OrderedDict()
@@ -24,16 +24,16 @@
         Args:
             rule: The rule's name.
             caller: The caller's name.
-            rate: Requests a second.
+            rate: Requests per second.
             now: The present time.
 
         Returns:
-            0 if the request is within the rate, otherwise how long until it will be.
+            0 if the request is within the rate, otherwise the time until it would be.
         """
-        burst = max(1.0, rate * BURST / SECOND)
+        burst = max(1.0, rate * BURST_WINDOW_MS / SECOND)
         bucket = self._buckets.pop((rule, caller), None) or TokenBucket(burst, now)
         wait = bucket.take(rate, burst, now)
         self._buckets[rule, caller] = bucket
-        if len(self._buckets) > MAX_CALLERS:
+        if len(self._buckets) > MAX_BUCKETS:
             self._buckets.popitem(last=False)
         return wait
--- a/src/alderhatch/core/replica_choice.py
+++ b/src/alderhatch/core/replica_choice.py
@@ -1,4 +1,4 @@
-"""Which replica of a shard is asked."""
+"""Chooses the replica that a shard request is sent to."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from random import Random
 
 TIE_TOLERANCE = 0.02
-"""Estimates that differ by less than this ratio are equal; chance decides between them."""
+"""Costs that differ by no more than this fraction are ties, broken at random."""
 
 
 def choose_replica(
@@ -22,28 +22,29 @@
     zone_cost: Millis,
     now: Millis,
     rng: Random,
-    alone: bool = False,
+    avoid_suspects: bool = False,
     other_zone_floor: Millis = 0.0,
 ) -> ServerView | None:
-    """Return the replica that is likely to answer first.
+    """Return the replica with the lowest expected latency.
 
     Args:
         replicas: The servers that hold the shard.
-        excluded: Ids of servers that are not to be asked.
-        zone: The availability zone that is preferred.
-        zone_cost: What any other zone is held to cost more, in milliseconds.
+        excluded: IDs of servers to skip.
+        zone: The preferred availability zone.
+        zone_cost: The extra cost of any other zone, in milliseconds.
         now: The present time.
-        rng: Decides between equals.
-        alone: Whether servers that run a suspected body are left out.
+        rng: Breaks ties.
+        avoid_suspects: Whether to skip servers with a crash suspect in flight.
         other_zone_floor: The lowest cost of a replica in another zone, in milliseconds. A replica
             in the preferred zone that is faster than this wins over any other zone.
 
     Returns:
-        The replica; doubtful ones only if there is no other; None if none can be asked now.
+        The replica, or None if none may be used now. A server of last resort is returned only if
+        there is no other.
     """
     best: ServerView | None = None
     best_cost = 0.0
-    best_doubtful = True
+    best_is_last_resort = True
     for server in replicas:
         if (
             server.in_flight >= server.cap
@@ -51,15 +52,15 @@
             or server.is_unavailable(now)
         ):
             continue
-        if alone and server.suspect_attempts:
+        if avoid_suspects and server.suspect_attempts:
             continue
         is_last_resort = server.is_last_resort(now)
-        if is_last_resort and not best_doubtful:
+        if is_last_resort and not best_is_last_resort:
             continue
         cost = server.estimate(now)
         if server.zone != zone:
             cost = max(cost + zone_cost, other_zone_floor)
-        if best is not None and is_last_resort is best_doubtful:
+        if best is not None and is_last_resort is best_is_last_resort:
             if -TIE_TOLERANCE * cost <= cost - best_cost <= TIE_TOLERANCE * cost:
                 if rng.random() < 0.5:
                     continue
@@ -67,5 +68,5 @@
                 continue
         best = server
         best_cost = cost
-        best_doubtful = is_last_resort
+        best_is_last_resort = is_last_resort
     return best
--- a/src/alderhatch/core/rule.py
+++ b/src/alderhatch/core/rule.py
@@ -1,4 +1,4 @@
-"""When-then rules: what a request has to be, and how it is then treated."""
+"""When-then rules: the conditions on a request and how a matching request is treated."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 MAX_DEADLINE_MS: Millis = 600_000.0
 
 
-def _one_or_many(value: object) -> object:
+def _as_tuple(value: object) -> object:
     return (value,) if isinstance(value, str) else value
 
 
-Words: TypeAlias = Annotated[tuple[str, ...], BeforeValidator(_one_or_many)]
-"""One word or a list of words, of which any may match; empty matches everything."""
+StringTuple: TypeAlias = Annotated[tuple[str, ...], BeforeValidator(_as_tuple)]
+"""One string or a list of strings, any of which may match; empty matches everything."""
 
-Priorities: TypeAlias = Annotated[tuple[Priority, ...], BeforeValidator(_one_or_many)]
+Priorities: TypeAlias = Annotated[tuple[Priority, ...], BeforeValidator(_as_tuple)]
 
-_CLOSED = ConfigDict(extra="forbid")
+_FORBID_EXTRA = ConfigDict(extra="forbid")
 
 
 class ZonePreference(StrEnum):
-    """Which replicas come first for a rule."""
+    """The replicas that a rule prefers."""
 
     OWN_ZONE = "own_zone"
-    """Replicas in the entry's availability zone, unless another is clearly faster."""
+    """Replicas in the entry's availability zone, unless another one is clearly faster."""
     ANY_ZONE = "any_zone"
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderMatch:
-    """A condition on one header field: exactly one of ``equals`` and ``prefix`` is given."""
+    """A condition on one header field, with exactly one of ``equals`` and ``prefix``."""
 
-    __pydantic_config__ = _CLOSED
+    __pydantic_config__ = _FORBID_EXTRA
 
     name: str
     equals: str | None = None
     prefix: str | None = None
 
-    def fits(self, request: Request) -> bool:
-        """Return whether the request has such a header field."""
+    def matches(self, request: Request) -> bool:
+        """Return whether the request has a matching header field."""
         value = request.headers.get(self.name.lower())
         if value is None:
             return False
@@ -57,24 +57,24 @@
 
 @dataclass(frozen=True, slots=True)
 class When:
-    """The conditions of a rule; all that are given have to hold."""
+    """The conditions of a rule; all that are given must hold."""
 
-    __pydantic_config__ = _CLOSED
+    __pydantic_config__ = _FORBID_EXTRA
 
-    kind: Words = ()
-    """Kinds of request, in the callers' own words."""
-    upstream: Words = ()
+    kind: StringTuple = ()
+    """Kinds of request, as named by callers."""
+    upstream: StringTuple = ()
     """Names of upstreams."""
-    caller: Words = ()
+    caller: StringTuple = ()
     """Names of callers."""
-    zone: Words = ()
+    zone: StringTuple = ()
     """Availability zones of callers."""
     priority: Priorities = ()
-    """Classes that the request asks for."""
+    """Priority classes that the request asks for."""
     idempotent: Annotated[bool, Strict()] | None = None
-    """Whether the request may be repeated."""
+    """Whether the request is idempotent."""
     headers: tuple[HeaderMatch, ...] = ()
-    """Header fields that all have to be there."""
+    """Conditions on header fields, all of which must hold."""
 
     def mismatch(self, request: Request) -> str | None:
         """Return the name of the first condition that does not hold, or None if all do."""
@@ -91,49 +91,49 @@
         if self.idempotent is not None and request.idempotent != self.idempotent:
             return "idempotent"
         for header in self.headers:
-            if not header.fits(request):
+            if not header.matches(request):
                 return f"headers.{header.name}"
         return None
 
 
 @dataclass(frozen=True, slots=True)
 class Serve:
-    """Run the request, in this way."""
+    """Run the request with these settings."""
 
-    __pydantic_config__ = _CLOSED
+    __pydantic_config__ = _FORBID_EXTRA
 
     coverage: Annotated[float, Strict(), Field(ge=0, le=1)] = 1.0
-    """The fraction of documents that is wanted; once reached, stragglers get ``straggler_ms``."""
+    """The target fraction of documents; once reached, stragglers get ``straggler_ms``."""
     min_coverage: Annotated[float, Strict(), Field(ge=0, le=1)] = 0.0
-    """An answer that covers less than this is an error to the caller."""
+    """An answer that covers less than this fraction is an error to the caller."""
     deadline_ms: Annotated[Millis, Strict(), Field(gt=0, le=MAX_DEADLINE_MS)] = 1000.0
     """The longest time to an answer; a caller may ask for less."""
     straggler_ms: Annotated[Millis, Strict(), Field(ge=0, le=MAX_DEADLINE_MS)] = 0.0
-    """How long to wait for more once the coverage wanted is reached."""
+    """How long to wait for stragglers once the target coverage is reached."""
     priority: Priority | None = None
-    """The class the request gets; its own if none is given."""
+    """The priority class of the request; the one it asks for if none is given."""
     hedge: Annotated[float, Strict(), Field(ge=0, le=1)] = 0.05
-    """Hedges allowed, as a fraction of the rule's shard requests."""
+    """The hedges allowed, as a fraction of the rule's shard requests."""
     retries: Annotated[int, Strict(), Field(ge=0, le=10)] = 1
-    """Further tries for each shard after a failure."""
+    """Retries for each shard after a failure."""
     max_load_share: Annotated[float, Strict(), Field(gt=0, le=1)] = 1.0
-    """The share of an upstream's slots that requests of this rule may hold at one entry."""
+    """The fraction of an upstream's slots that requests of this rule may use at one entry."""
     caller_rate: Annotated[float, Strict(), Field(gt=0)] | None = None
-    """Requests a second for each caller at one entry; None is no limit."""
+    """Requests per second for each caller at one entry; None for no limit."""
     zone: ZonePreference = ZonePreference.OWN_ZONE
-    """Which replicas come first."""
+    """The replicas that are preferred."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Do not run the request."""
+    """Refuse the request without running it."""
 
-    __pydantic_config__ = _CLOSED
+    __pydantic_config__ = _FORBID_EXTRA
 
     refuse: Annotated[str, Field(min_length=1, max_length=200)]
-    """The reason that the caller is shown."""
+    """The reason given to the caller."""
     retry_after_ms: Annotated[Millis, Strict(), Field(ge=0)] | None = None
-    """When the caller may come back, if ever."""
+    """When the caller may retry, if at all."""
 
 
 Then: TypeAlias = Serve | Refuse
@@ -143,7 +143,7 @@
 class Rule:
     """One named rule of the ordered list."""
 
-    __pydantic_config__ = _CLOSED
+    __pydantic_config__ = _FORBID_EXTRA
 
     name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
     then: Serve | Refuse
--- a/src/alderhatch/core/rule_list.py
+++ b/src/alderhatch/core/rule_list.py
@@ -1,4 +1,4 @@
-"""The ordered list of rules: the first one that matches decides."""
+"""The ordered list of rules; the first rule that matches a request applies."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 MAX_RULES = 1000
 DEFAULT_RULE = Rule(name="default", then=Serve(), when=When())
-"""What holds for a request that no rule matches."""
+"""The rule for a request that no other rule matches."""
 
 _RULE = TypeAdapter(Rule)
 
 
 class RuleFault(NamedTuple):
-    """One mistake in a list of rules."""
+    """One error in a list of rules."""
 
     position: int
-    """The rule's place in the list, counted from 1; 0 for the list as a whole."""
+    """The position of the rule in the list, counted from 1; 0 for the list as a whole."""
     rule: str
-    """The rule's name, as far as it has one."""
+    """The name of the rule, or an empty string if it has none."""
     field: str
-    """A dotted path to the field at fault."""
+    """The dotted path of the invalid field."""
     message: str
 
     def __str__(self) -> str:
@@ -33,7 +33,7 @@
 
 
 class RuleFaultsError(Exception):
-    """A list of rules has mistakes; none of it is taken."""
+    """A list of rules has errors and is rejected as a whole."""
 
     def __init__(self, faults: Sequence[RuleFault]) -> None:
         super().__init__("; ".join(str(fault) for fault in faults))
@@ -41,17 +41,17 @@
 
 
 class Explanation(NamedTuple):
-    """Which rule takes a request, and why the ones before it do not."""
+    """The rule that applies to a request, and why the earlier rules do not."""
 
     rule: Rule
     position: int
-    """Counted from 1; 0 if no rule matched and the default holds."""
+    """Counted from 1; 0 if no rule matched and the default applies."""
     passed_over: tuple[tuple[str, str], ...]
-    """The name of each earlier rule, with the condition that did not hold."""
+    """The name of each earlier rule and its first condition that did not hold."""
 
 
 class RuleList:
-    """Rules in the order in which they are tried. It never changes once it is made."""
+    """An immutable list of rules in the order in which they are matched."""
 
     def __init__(self, rules: Sequence[Rule] = ()) -> None:
         self.rules = tuple(rules)
@@ -64,7 +64,7 @@
         return DEFAULT_RULE
 
     def explain(self, request: Request) -> Explanation:
-        """Return the rule that ``match`` would, with the reason against each earlier one."""
+        """Return the rule that ``match`` returns, and why each earlier rule does not apply."""
         passed_over: list[tuple[str, str]] = []
         for position, rule in enumerate(self.rules, start=1):
             mismatch = rule.when.mismatch(request)
@@ -74,27 +74,27 @@
         return Explanation(DEFAULT_RULE, 0, tuple(passed_over))
 
     def to_plain(self) -> list[dict[str, object]]:
-        """Return the rules as plain maps and lists that ``parse_rules`` reads back."""
+        """Return the rules as plain dicts and lists that ``parse_rules`` accepts."""
         return [rule_to_plain(rule) for rule in self.rules]
 
 
 def rule_to_plain(rule: Rule) -> dict[str, object]:
-    """Return one rule as plain maps and lists."""
+    """Return one rule as plain dicts and lists."""
     plain: dict[str, object] = _RULE.dump_python(rule, mode="json")
     return plain
 
 
 def parse_rules(raw: object) -> RuleList:
-    """Check a list of rules as read from TOML, JSON or CBOR.
+    """Parse and validate a list of rules as read from TOML, JSON or CBOR.
 
     Args:
         raw: A list of tables, each with ``name``, ``when`` and ``then``.
 
     Returns:
-        The rules in their order.
+        The rules in the order of the list.
 
     Raises:
-        RuleFaultsError: With every mistake, each with its position and field.
+        RuleFaultsError: If the list is invalid; it has every error with its position and field.
     """
     if not isinstance(raw, list | tuple):
         raise RuleFaultsError([RuleFault(0, "", "rule", "expected a list of rules")])
@@ -103,8 +103,8 @@
     faults: list[RuleFault] = []
     rules: list[Rule] = []
     names: set[str] = set()
-    for position, item in enumerate(raw, start=1):
-        rule, found = _parse_one(position, item)
+    for position, raw_rule in enumerate(raw, start=1):
+        rule, found = _parse_one(position, raw_rule)
         faults += found
         if rule is None:
             continue
@@ -117,26 +117,27 @@
     return RuleList(rules)
 
 
-def _parse_one(position: int, item: object) -> tuple[Rule | None, list[RuleFault]]:
-    name = item.get("name", "") if isinstance(item, dict) else ""
+def _parse_one(position: int, raw_rule: object) -> tuple[Rule | None, list[RuleFault]]:
+    name = raw_rule.get("name", "") if isinstance(raw_rule, dict) else ""
     name = name if isinstance(name, str) else ""
     try:
-        rule = _RULE.validate_python(item)
+        rule = _RULE.validate_python(raw_rule)
     except ValidationError as exc:
-        return None, _validation_faults(position, name, item, exc)
+        return None, _validation_faults(position, name, raw_rule, exc)
     return rule, [RuleFault(position, name, *fault) for fault in _cross_checks(rule)]
 
 
 def _validation_faults(
-    position: int, name: str, item: object, exc: ValidationError
+    position: int, name: str, raw_rule: object, exc: ValidationError
 ) -> list[RuleFault]:
-    # A "then" is tried both as Serve and as Refuse; only the mistakes of the one meant are shown.
-    then = item.get("then") if isinstance(item, dict) else None
-    wrong = "Serve" if isinstance(then, dict) and "refuse" in then else "Refuse"
+    # A "then" is validated both as Serve and as Refuse; only the errors of the intended form are
+    # reported.
+    then = raw_rule.get("then") if isinstance(raw_rule, dict) else None
+    other_form = "Serve" if isinstance(then, dict) and "refuse" in then else "Refuse"
     faults = []
     for error in exc.errors():
         parts = [str(part) for part in error["loc"]]
-        if wrong in parts:
+        if other_form in parts:
             continue
         path = ".".join(part for part in parts if part not in ("Serve", "Refuse"))
         faults.append(RuleFault(position, name, path or "rule", error["msg"]))
@@ -147,11 +148,11 @@
     faults = []
     for index, header in enumerate(rule.when.headers):
         if (header.equals is None) == (header.prefix is None):
-            message = "give exactly one of equals and prefix"
+            message = "expected exactly one of equals and prefix"
             faults.append((f"when.headers.{index}", message))
     match rule.then:
-        case Serve(coverage=coverage, min_coverage=least) if least > coverage:
-            faults.append(("then.min_coverage", "is more than the coverage wanted"))
+        case Serve(coverage=coverage, min_coverage=minimum) if minimum > coverage:
+            faults.append(("then.min_coverage", "is more than the coverage in then.coverage"))
         case Serve() | Refuse():
             pass
     return faults
--- a/src/alderhatch/core/run.py
+++ b/src/alderhatch/core/run.py
@@ -1,4 +1,4 @@
-"""What every request under way has, whether it may be repeated or not."""
+"""The state common to all running requests, idempotent or not."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Run:
-    """One request that has found its rule."""
+    """One request that was matched to a rule."""
 
     def __init__(
         self,
@@ -35,41 +35,41 @@
         self.rule = rule
         self.serve = serve
         self.fingerprint = fingerprint
-        """The hash of its body."""
+        """The hash of the upstream, the kind and the body."""
         self.upstream = upstream
         self.shard_map = shard_map
-        """The pinned map; every attempt reads its snapshot."""
+        """The pinned shard map; every attempt reads its snapshot."""
         self.started_at = now
         self.admitted_at = now
         self.time_budget = min(serve.deadline_ms, request.deadline_ms or serve.deadline_ms)
-        """From its arrival to its deadline."""
+        """The time from arrival to deadline."""
         self.deadline = now + self.time_budget
         self.priority: Priority = serve.priority or request.priority
         self.rank = self.priority.rank
         self.any_zone = serve.zone is ZonePreference.ANY_ZONE
         self.ended = False
         self.gate: UpstreamGate | None = None
-        """Where it was admitted; None while it waits."""
+        """The limiter that admitted the request; None while the request waits."""
         self.units = 0
-        """What it holds of the gate: its shards that are still open."""
+        """The units that it holds at the limiter: the number of its open shards."""
         self.maybe_ran = False
-        """Whether an attempt ended in another way than with a certain "not run"."""
+        """Whether an attempt may have run: one ended without a definite "not run"."""
         self.retry_after: Millis | None = None
-        """When a server that refused wants to be asked again."""
+        """The longest wait that a refusing server asked for."""
 
 
 class ShardState:
-    """What one request knows of one shard."""
+    """The state of one shard within one request."""
 
     __slots__ = (
         "attempts",
         "closed",
         "failures",
-        "gone",
         "hedges",
         "plan",
         "reason",
         "rows",
+        "snapshot_gone",
         "tried",
         "waiting",
     )
@@ -77,19 +77,19 @@
     def __init__(self, plan: ShardPlan) -> None:
         self.plan = plan
         self.rows: list[object] | None = None
-        """The rows of the answer that counts; None until there is one."""
+        """The rows of the accepted answer; None until there is one."""
         self.attempts: dict[int, Attempt] = {}
-        """Attempts that are out, by their numbers."""
+        """Attempts in flight by attempt number."""
         self.tried: set[str] = set()
-        """Servers that were asked."""
+        """IDs of the servers that were tried."""
         self.failures = 0
-        """Tries that count against the rule's retries."""
+        """Failed attempts that count against the rule's retries."""
         self.hedges = 0
         self.closed = False
-        """Whether it has answered or was given up."""
-        self.gone = False
-        """Whether no replica has the pinned snapshot any more."""
+        """Whether the shard has answered or was given up."""
+        self.snapshot_gone = False
+        """Whether no replica holds the pinned snapshot any more."""
         self.waiting = False
-        """Whether it waits for a server that may be asked."""
+        """Whether the shard request waits for an available server."""
         self.reason = "no answer in time"
-        """Why the shard is missing, if it stays so."""
+        """Why the shard is missing from the answer, if it does not answer."""
--- a/src/alderhatch/core/server_table.py
+++ b/src/alderhatch/core/server_table.py
@@ -1,4 +1,4 @@
-"""The servers of all upstreams, and what is known of each upstream as a whole."""
+"""The servers of all upstreams, and the state of each upstream as a whole."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 
 class ShardPlan(NamedTuple):
-    """A shard with the views of the servers that hold it."""
+    """A shard with the views of its replicas."""
 
     shard: Shard
     replicas: tuple[ServerView, ...]
 
 
 class UpstreamView:
-    """One upstream: its newest map, latencies and retry budget."""
+    """One upstream: its newest shard map, latencies and retry budget."""
 
     def __init__(self, name: str, policy: Policy) -> None:
         self.name = name
         self.latencies = LatencyHistogram(policy.first_latency_ms)
         self.query_latencies = LatencyHistogram(policy.first_latency_ms)
-        """The times of whole queries from admission to answer."""
+        """Latencies of whole queries, from admission to answer."""
         self.retry_budget = RatioBudget(policy.retry_share, policy.retry_burst, policy.retry_burst)
         """Bounds retries to a fraction of the upstream's shard requests."""
         self.shard_map: ShardMap | None = None
         self.plans: tuple[ShardPlan, ...] = ()
-        """The shards of the newest map, in its order."""
+        """The shards of the newest map, in the order of the map."""
         self.servers: dict[str, ServerView] = {}
         self.ejected: set[str] = set()
 
@@ -45,20 +45,20 @@
         self._policy = policy
         self.upstreams: dict[str, UpstreamView] = {}
         self.servers: dict[str, ServerView] = {}
-        self._leaving: dict[str, frozenset[str]] = {}
+        self._leaving_by_source: dict[str, frozenset[str]] = {}
         self._shares: Mapping[str, int] = {}
 
     def snapshot_of(self, upstream: str) -> Snapshot | None:
-        """Return the newest snapshot of an upstream, or None if no map of it is known."""
+        """Return the newest snapshot of an upstream, or None if it has no shard map."""
         view = self.upstreams.get(upstream)
         return None if view is None or view.shard_map is None else view.shard_map.snapshot
 
     def update_shard_map(self, shard_map: ShardMap, now: Millis) -> bool:
-        """Take a shard map; return False if it tells nothing new, or is not to be believed.
+        """Apply a shard map; return False if it is not newer or is inconsistent.
 
-        A map of the snapshot that is known may place its shards on other servers, as when a
-        replica is moved to another host. It may not weigh them otherwise: coverage is counted by
-        the weights of the pinned map.
+        A map of the current snapshot may assign its shards to other servers, for example when a
+        replica moves to another host. It may not change their weights, because coverage is computed
+        from the weights of the pinned map.
         """
         view = self.upstreams.get(shard_map.upstream)
         if view is None:
@@ -66,28 +66,32 @@
                 shard_map.upstream, self._policy
             )
         known = view.shard_map
-        # Answers about the map can overtake each other. An older one taken back would send new
-        # queries to index versions that the servers have dropped.
-        if known is not None and not _replaces(shard_map, known):
+        # Fetched maps can arrive out of order. An older map would send new queries to index
+        # versions that the servers have dropped.
+        if known is not None and not _supersedes(shard_map, known):
             return False
         view.shard_map = shard_map
-        self._renew(view, shard_map, now, first=known is None)
+        self._rebuild(view, shard_map, now, is_first=known is None)
         return True
 
-    def _renew(self, view: UpstreamView, shard_map: ShardMap, now: Millis, first: bool) -> None:
-        earlier = view.servers
+    def _rebuild(
+        self, view: UpstreamView, shard_map: ShardMap, now: Millis, is_first: bool
+    ) -> None:
+        previous = view.servers
         view.servers = {}
         for server in shard_map.servers:
-            known = earlier.get(server.server_id)
+            known = previous.get(server.server_id)
             if known is None:
                 known = ServerView(server, view.latencies, self._policy)
-                known.cold_since = NEVER if first else now
-                known.leaving = {s for s, ids in self._leaving.items() if server.server_id in ids}
-            known.describe(server)
+                known.cold_since = NEVER if is_first else now
+                known.leaving = {
+                    s for s, ids in self._leaving_by_source.items() if server.server_id in ids
+                }
+            known.update_from_map(server)
             view.servers[server.server_id] = known
             self.servers[server.server_id] = known
-            self._share(known)
-        for server_id in earlier.keys() - view.servers.keys():
+            self._apply_share(known)
+        for server_id in previous.keys() - view.servers.keys():
             del self.servers[server_id]
         view.ejected &= view.servers.keys()
         view.plans = tuple(
@@ -95,9 +99,9 @@
             for shard in shard_map.shards
         )
 
-    def _share(self, server: ServerView) -> None:
-        # Without any shares the entry runs alone. With them, a server that control has not
-        # divided up yet gets nothing: otherwise all entries together could go over its limit.
+    def _apply_share(self, server: ServerView) -> None:
+        # Without any shares, the entry runs without control hosts. With shares, a server that has
+        # none yet gets nothing; otherwise all entries together could exceed its limit.
         if self._shares:
             server.set_share(self._shares.get(server.server_id, 0))
         else:
@@ -110,14 +114,14 @@
             view.retry_budget.ratio = share
 
     def set_shares(self, shares: Mapping[str, int]) -> None:
-        """Take the shares of connections that came with the lease."""
+        """Apply the connection shares that came with the lease."""
         self._shares = shares
         for server in self.servers.values():
-            self._share(server)
+            self._apply_share(server)
 
     def set_leaving(self, source: str, server_ids: frozenset[str]) -> None:
-        """Take one source's word on which servers are leaving."""
-        self._leaving[source] = server_ids
+        """Replace the list of leaving servers of one source."""
+        self._leaving_by_source[source] = server_ids
         for server_id, server in self.servers.items():
             if server_id in server_ids:
                 server.leaving.add(source)
@@ -125,12 +129,12 @@
                 server.leaving.discard(source)
 
     def boot_id_of(self, server_id: str) -> str | None:
-        """Return the boot id that a server last gave, or None if it never gave one."""
+        """Return the last boot ID that a server reported, or None if it never reported one."""
         server = self.servers.get(server_id)
         return None if server is None else server.boot_id
 
     def apply_health(self, event: HealthReported, now: Millis) -> bool:
-        """Take what a health endpoint says; return whether the server was started anew."""
+        """Apply a health report; return whether the server was restarted."""
         server = self.servers.get(event.server_id)
         if server is None:
             return False
@@ -149,15 +153,15 @@
         return restarted
 
     def record_failure(self, upstream: str, server: ServerView, now: Millis) -> None:
-        """Count a failure of a server; eject it after some in a row, within the cap."""
+        """Count a failure of a server; eject it after several in a row, within the cap."""
         server.failures += 1
         if server.failures < self._policy.eject_failures or now < server.ejected_until:
             return
         view = self.upstreams[upstream]
         ejected = {s for s in view.ejected if s in view.servers}
         ejected = {s for s in ejected if now < view.servers[s].ejected_until}
-        # A fault of this entry's own network looks like a fault of every server. Without the cap
-        # all of them would be out and the load would fall on the few that are left.
+        # A fault in this entry's own network looks like a fault of every server. Without the cap
+        # nearly all servers would be ejected, and the load would fall on the few that are left.
         if len(ejected) + 1 > max(1.0, self._policy.max_ejected_share * len(view.servers)):
             view.ejected = ejected
             return
@@ -165,7 +169,7 @@
         view.ejected = ejected | {server.server_id}
 
 
-def _replaces(shard_map: ShardMap, known: ShardMap) -> bool:
+def _supersedes(shard_map: ShardMap, known: ShardMap) -> bool:
     if shard_map.snapshot != known.snapshot:
         return shard_map.snapshot > known.snapshot
     return shard_map != known and _weights(shard_map) == _weights(known)
--- a/src/alderhatch/core/shard_map.py
+++ b/src/alderhatch/core/shard_map.py
@@ -1,4 +1,4 @@
-"""Which shards an upstream's indexes have, what they weigh and which servers hold them."""
+"""The shards of an upstream's indexes, their weights and the servers that hold them."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class Snapshot(NamedTuple):
-    """The one state of the indexes that an answer reflects."""
+    """The state of the indexes that an answer reflects."""
 
     version: int
     """The index version."""
     epoch: int
-    """The partition epoch; it changes when documents move between shards."""
+    """The partition epoch, which changes when documents move between shards."""
 
 
 class Shard(NamedTuple):
-    """One part of the indexes."""
+    """One partition of the indexes."""
 
     name: str
     documents: int
-    """How many documents it holds: its weight in the coverage."""
+    """The number of documents it holds, which is its weight in the coverage."""
     servers: tuple[str, ...]
-    """The ids of the servers that hold it."""
+    """The IDs of the servers that hold it."""
 
 
 class Server(NamedTuple):
-    """One process of an upstream."""
+    """One server process of an upstream."""
 
     server_id: str
     address: str
@@ -35,7 +35,7 @@
     port: int
     zone: str
     slots: int
-    """How many shard requests it runs at the same time."""
+    """How many shard requests it runs concurrently."""
     max_connections: int
     """How many connections it accepts from all entries together."""
 
@@ -51,15 +51,15 @@
 
     @cached_property
     def by_server_id(self) -> dict[str, Server]:
-        """The servers by their ids."""
+        """The servers by ID."""
         return {server.server_id: server for server in self.servers}
 
     @cached_property
     def by_shard_name(self) -> dict[str, Shard]:
-        """The shards by their names."""
+        """The shards by name."""
         return {shard.name: shard for shard in self.shards}
 
     @cached_property
     def documents(self) -> int:
-        """The documents of all shards together."""
+        """The total number of documents in all shards."""
         return sum(shard.documents for shard in self.shards)
--- a/src/alderhatch/core/single_run.py
+++ b/src/alderhatch/core/single_run.py
@@ -1,4 +1,4 @@
-"""The state of one request that may not be repeated."""
+"""The state of one running non-idempotent request."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Stage(Enum):
-    """How far it has got."""
+    """The stage that a request has reached."""
 
     QUEUED = "queued"
-    """It waits for admission; nothing has been claimed."""
+    """The request waits for admission; nothing has been claimed."""
     CLAIMING = "claiming"
-    """The run ledger has been asked."""
+    """A claim has been sent to the run ledger."""
     WAITING = "waiting"
-    """It is claimed and waits for a server; nothing has been sent."""
+    """The request is claimed and waits for a server; nothing has been sent."""
     SENT = "sent"
-    """One attempt is out."""
+    """One attempt is in flight."""
 
 
 class SingleRun(Run):
-    """A request that goes to one shard, once."""
+    """A request that is sent to one shard and runs at most once."""
 
     def __init__(
         self,
@@ -43,4 +43,4 @@
         self.shard: ShardState | None = None
         self.stage = Stage.QUEUED
         self.caller_served = False
-        """Whether the caller has its answer, or left; the run's outcome is still recorded."""
+        """Whether the caller has its answer or has disconnected; the outcome is still recorded."""
