--- a/features/rules.feature
+++ b/features/rules.feature
@@ -1,10 +1,10 @@
 Feature: The ordered list of rules
 
-  Scenario Outline: A mistake in the list is named with its position and field
-    # An operator mistypes a word in one of many rules. Without the place of the mistake the whole
-    # list has to be read again while a closing waits.
+  Scenario Outline: An error in the list is reported with its position and field
+    # An operator mistypes a word in one of many rules. Without the position of the error, the whole
+    # list would have to be checked by hand.
     When rules are read from the tables "<first>" and "<second>"
-    Then rule <position> is refused at field "<field>"
+    Then rule <position> is rejected at field "<field>"
 
     Examples:
       | first                                         | second                                                          | position | field            |
@@ -30,17 +30,17 @@
       | name="a" then={max_load_share=0}              | name="b" then={}                                                | 1        | then.max_load_share |
       | name="a" then={caller_rate=0}                 | name="b" then={}                                                | 1        | then.caller_rate |
 
-  Scenario: All mistakes are shown at once
+  Scenario: All errors are reported at once
     When rules are read from the tables "name="a" then={coverage=2,retries=99}" and "name="b" then={hedge=-1}"
-    Then 3 mistakes in the rules are shown
+    Then 3 errors in the rules are reported
 
-  Scenario: The rule that takes a request is explained with why earlier ones did not
+  Scenario: An explanation names the applied rule and why earlier rules did not match
     When rules are read from the tables "name="robots" when={caller="robot"} then={}" and "name="routes" when={kind="route"} then={}"
     Then the explanation for caller "desk" and kind "route" is rule 2 after "robots" failed on "caller"
     And the explanation for caller "desk" and kind "log" is rule 0 after "robots" failed on "caller"
 
-  Scenario: The first match is the same as that of a naive version
-    Then rules match and explain as a naive version does, for any rules and requests
+  Scenario: The first match is that of a naive implementation
+    Then rules match and explain as a naive implementation does, for any rules and requests
 
-  Scenario: A list of rules survives being written out and read again
+  Scenario: A list of rules is unchanged after a round trip through its plain form
     Then any list of rules reads back the same from its plain form
--- a/features/steps/core_hedging_steps.py
+++ b/features/steps/core_hedging_steps.py
@@ -9,31 +9,31 @@
 from features.support.core_harness import CoreHarness, make_map
 
 
-def seasoned(serve):
-    """Return a core that has seen answers of 3 to 7 ms, and one in fifty of 12 ms."""
+def warmed_up_core(serve):
+    """Return a core that has recorded latencies of 3 to 7 ms, and of 12 ms for one answer in 50."""
     core = CoreHarness(make_map(), serve)
     rng = Random(7)
     for _ in range(200):
         core.arrive()
         start = core.now
-        spans = [12.0 if rng.random() < 0.02 else 3.0 + 4.0 * rng.random() for _ in range(4)]
-        due = sorted(zip(spans, list(core.out), strict=True))
-        for span, attempt in due:
-            core.advance(max(0.0, start + span - core.now))
+        latencies = [12.0 if rng.random() < 0.02 else 3.0 + 4.0 * rng.random() for _ in range(4)]
+        answers = sorted(zip(latencies, list(core.out), strict=True))
+        for latency, attempt in answers:
+            core.advance(max(0.0, start + latency - core.now))
             if attempt in core.out:
                 core.answer(attempt)
         core.answer_all()
     return core
 
 
-@given("a core that has seen 200 queries over 4 shards of about 5 ms")
-def step_seasoned(context):
-    context.core = seasoned(Serve())
+@given("a core that has run 200 queries over 4 shards of about 5 ms")
+def step_warmed_up_core(context):
+    context.core = warmed_up_core(Serve())
 
 
-@given("a core without hedges that has seen 200 queries over 4 shards of about 5 ms")
-def step_seasoned_without(context):
-    context.core = seasoned(Serve(hedge=0))
+@given("a core without hedges that has run 200 queries over 4 shards of about 5 ms")
+def step_core_without_hedges(context):
+    context.core = warmed_up_core(Serve(hedge=0))
 
 
 @when("all but one shard of a query answer and {span:d} ms pass")
@@ -51,33 +51,33 @@
     context.sent_before = len(core.sent)
     context.core_query = core.arrive(**fields)
     core.advance(4.0)
-    *others, context.last = list(core.out)
+    *others, context.last_attempt = list(core.out)
     for attempt in others:
         core.answer(attempt)
     core.advance(span - 4.0)
 
 
-@then("a second copy of the last shard is out on another server")
-def step_second_copy(context):
+@then("a hedge of the last shard is in flight on another server")
+def step_hedge_in_flight(context):
     core = context.core
     assert len(core.out) == 2, core.out
-    first, second = core.out.values()
-    assert first.shard == second.shard and first.server_id != second.server_id
+    first, hedged = core.out.values()
+    assert first.shard == hedged.shard and first.server_id != hedged.server_id
 
 
-@when("the second copy answers")
-def step_second_answers(context):
+@when("the hedge answers")
+def step_hedge_answers(context):
     context.core.answer(list(context.core.out)[-1])
 
 
-@then("the query is whole and the first copy was cancelled")
-def step_whole_cancelled(context):
+@then("the query is complete and the first attempt was cancelled")
+def step_complete_and_cancelled(context):
     outcome = context.core.finished[context.core_query]
     assert isinstance(outcome, Answered) and outcome.coverage == 1.0, outcome
-    assert context.last in context.core.cancelled
+    assert context.last_attempt in context.core.cancelled
 
 
-@when("{queries:d} queries run there with every answer taking {span:d} ms")
+@when("{queries:d} queries run with every answer taking {span:d} ms")
 def step_all_slow(context, queries, span):
     core = context.core
     for _ in range(queries):
@@ -95,8 +95,8 @@
     assert core.shard_requests_sent <= ratio * core.shard_requests_needed
 
 
-@then("no second copy is out")
-def step_no_second(context):
+@then("no hedge is in flight")
+def step_no_hedge(context):
     assert len(context.core.out) <= 1, context.core.out
     assert len({s.shard for s in context.core.sent[context.sent_before :]}) == len(
         context.core.sent[context.sent_before :]
@@ -113,9 +113,9 @@
     core.advance(float(span))
 
 
-@then("a hedge comes later when the budget is nearly empty than when it is full")
-def step_delay_follows(context):
-    def hedge_after(core):
+@then("a hedge is sent later when the budget is nearly empty than when it is full")
+def step_delay_grows(context):
+    def measure_hedge_delay(core):
         start = core.now
         core.arrive()
         core.advance(4.0)
@@ -124,19 +124,19 @@
         sent = len(core.sent)
         while len(core.sent) == sent and core.now < start + 100.0:
             core.advance(0.1)
-        span = core.now - start
+        delay = core.now - start
         core.answer_all()
-        return span
+        return delay
 
     core = context.core
     while core.core.dump(core.now)["hedges"]["rule-0"]["tokens"] < core.policy.hedge_burst - 0.5:
         core.arrive()
         core.advance(4.0)
         core.answer_all()
-    full = hedge_after(core)
+    full = measure_hedge_delay(core)
     while core.core.dump(core.now)["hedges"]["rule-0"]["tokens"] > 3.0:
-        hedge_after(core)
-    empty = hedge_after(core)
+        measure_hedge_delay(core)
+    empty = measure_hedge_delay(core)
     assert full < empty, (full, empty)
 
 
@@ -144,12 +144,12 @@
 def step_budgets(context, hedge, retry):
     context.core.feed(BudgetsChanged(hedge, retry))
     state = context.core.core._state
-    context.hedges_before = {name: item.spent for name, item in state.hedges.items()}
-    context.tokens_before = {name: item.tokens for name, item in state.hedges.items()}
+    context.hedges_before = {name: held.spent for name, held in state.hedges.items()}
+    context.tokens_before = {name: held.tokens for name, held in state.hedges.items()}
 
 
-@then("since then the core's hedges have earned nothing")
-def step_nothing_earned(context):
+@then("since then the hedge budgets have earned no tokens")
+def step_no_tokens_earned(context):
     for name, budget in context.core.core._state.hedges.items():
         spent = budget.spent - context.hedges_before[name]
         assert budget.ratio == 0
--- a/features/steps/core_replica_steps.py
+++ b/features/steps/core_replica_steps.py
@@ -35,7 +35,7 @@
 
 
 def one_query(core, fail_on=None, fault=None, span=5.0, retry_after=None):
-    """Run a query to its end; attempts on one server may be made to fail."""
+    """Run one query to its end; attempts on the server ``fail_on`` fail with ``fault``."""
     query = core.arrive()
     core.now += span
     while core.out:
@@ -48,18 +48,18 @@
 
 
 def fail_server(core, server_id, fault, times, retry_after=None):
-    done = 0
+    failures = 0
     for _ in range(200):
         before = len(core.faults)
         one_query(core, server_id, fault, 0.0, retry_after)
-        done += len(core.faults) > before
-        if done >= times:
+        failures += len(core.faults) > before
+        if failures >= times:
             return
-    raise AssertionError(f"{server_id} was asked only {done} times")
+    raise AssertionError(f"{server_id} failed only {failures} times in 200 queries")
 
 
-@when("server {server_id} is known as {how}")
-def step_server_known(context, server_id, how):
+@when("server {server_id} is marked as {how}")
+def step_server_marked(context, server_id, how):
     core = context.core
     if how.startswith("leaving by "):
         source = how.removeprefix("leaving by ")
@@ -74,41 +74,41 @@
         core.feed(HealthReported(server_id, ServerState(how), None, None))
 
 
-@when("the platform says that no server is leaving")
+@when("the platform reports no server as leaving")
 def step_none_leaving(context):
     context.core.feed(ServersLeaving("platform", frozenset()))
 
 
-@when("the health endpoint of {server_id} says {state}")
-def step_health_says(context, server_id, state):
+@when("the health endpoint of {server_id} reports {state}")
+def step_health_reports(context, server_id, state):
     context.core.feed(HealthReported(server_id, ServerState(state), LoadReport(0, 0), "b1"))
 
 
-def servers_asked(core, queries):
-    asked = Counter()
+def count_sends(core, queries):
+    send_counts = Counter()
     for _ in range(queries):
         start = len(core.sent)
         one_query(core)
-        asked.update(send.server_id for send in core.sent[start:])
-    return asked
+        send_counts.update(send.server_id for send in core.sent[start:])
+    return send_counts
 
 
 @then("{queries:d} queries in the core all go to {server_id}")
 def step_all_go(context, queries, server_id):
-    asked = servers_asked(context.core, queries)
-    assert asked == {server_id: queries}, asked
+    send_counts = count_sends(context.core, queries)
+    assert send_counts == {server_id: queries}, send_counts
 
 
 @then("of {queries:d} queries in the core at most {most:d} go to {server_id}")
 def step_at_most_go(context, queries, most, server_id):
-    asked = servers_asked(context.core, queries)
-    assert asked[server_id] <= most, asked
+    send_counts = count_sends(context.core, queries)
+    assert send_counts[server_id] <= most, send_counts
 
 
 @then("of {queries:d} queries in the core at least {least:d} go to {server_id}")
 def step_at_least_go(context, queries, least, server_id):
-    asked = servers_asked(context.core, queries)
-    assert asked[server_id] >= least, asked
+    send_counts = count_sends(context.core, queries)
+    assert send_counts[server_id] >= least, send_counts
 
 
 @then("a query in the core is answered in full")
@@ -153,8 +153,8 @@
     fail_server(context.core, server_id, AttemptFault.SILENT, times)
 
 
-@then("the same query has asked {server_id} again")
-def step_asked_again(context, server_id):
+@then("the same query was sent to {server_id} again")
+def step_sent_again(context, server_id):
     assert [send.server_id for send in context.core.sent] == [server_id, server_id]
 
 
@@ -166,19 +166,19 @@
 
 @when("server {server_id} has restarted")
 def step_restarted(context, server_id):
-    for boot in ("b1", "b2"):
-        context.core.feed(HealthReported(server_id, ServerState.READY, None, boot))
+    for boot_id in ("b1", "b2"):
+        context.core.feed(HealthReported(server_id, ServerState.READY, None, boot_id))
 
 
-@when("{liar} reports no load but answers in {slow:d} ms while {other} takes {fast:d} ms")
-def step_liar(context, liar, slow, other, fast):
+@when("{stale_server} reports no load but answers in {slow:d} ms while {other} takes {fast:d} ms")
+def step_stale_report(context, stale_server, slow, other, fast):
     core = context.core
     for _ in range(300):
         core.arrive()
         attempt, send = next(iter(core.out.items()))
-        core.now += float(slow if send.server_id == liar else fast)
+        core.now += float(slow if send.server_id == stale_server else fast)
         core.answer(attempt, load=LoadReport(0, 0))
-        if "load report distrusted" in reasons_of(core, liar):
+        if "load report distrusted" in reasons_of(core, stale_server):
             return
         core.now += 300.0
 
@@ -204,16 +204,16 @@
 )
 def step_attempts_at_once(context, queries, most):
     core = context.core
-    numbers = [core.arrive() for _ in range(queries)]
-    seen = 0
+    queries_sent = [core.arrive() for _ in range(queries)]
+    max_in_flight = 0
     while core.out:
         by_server = Counter(send.server_id for send in core.out.values())
         assert by_server["ix-0-0"] <= 2 and by_server["ix-0-1"] <= 1, by_server
-        seen = max(seen, len(core.out))
+        max_in_flight = max(max_in_flight, len(core.out))
         core.now += 1.0
         core.answer(next(iter(core.out)))
-    assert seen == most, seen
-    assert all(isinstance(core.finished[number], Answered) for number in numbers)
+    assert max_in_flight == most, max_in_flight
+    assert all(isinstance(core.finished[number], Answered) for number in queries_sent)
 
 
 VIEWS = st.tuples(
@@ -227,13 +227,13 @@
 
 
 def build_view(index, fields):
-    in_flight, latency, others, trouble, zone, _ = fields
+    in_flight, latency, others, condition, zone, _ = fields
     server = Server(f"x{index}", "127.0.0.1", 1, zone, 2, 3)
     view = ServerView(server, LatencyHistogram(5.0), Policy())
     view.in_flight = in_flight
     view.latency, view.latency_at = latency, 100.0
     view.other_load, view.other_load_at = float(others), 90.0
-    match trouble:
+    match condition:
         case "shed":
             view.shed_until = 200.0
         case "drained":
@@ -248,19 +248,19 @@
 
 
 def naive_costs(all_fields):
-    """Return the cost of each server that may be asked, doubtful ones apart, by plain sums."""
-    usual, doubtful = {}, {}
+    """Compute the cost of each usable server; last resorts only if there is no other."""
+    normal, last_resort = {}, {}
     fresh = 1 - 10.0 / Policy().report_age_ms
-    for index, (in_flight, latency, others, trouble, zone, excluded) in enumerate(all_fields):
-        if in_flight >= 3 or excluded or trouble in ("shed", "drained", "leaving"):
+    for index, (in_flight, latency, others, condition, zone, excluded) in enumerate(all_fields):
+        if in_flight >= 3 or excluded or condition in ("shed", "drained", "leaving"):
             continue
         load = in_flight + others * fresh
         cost = latency * (1 + load / 2) + (0 if zone == ZONES[0] else 1)
-        (doubtful if trouble in ("ejected", "down") else usual)[f"x{index}"] = cost
-    return usual or doubtful
+        (last_resort if condition in ("ejected", "down") else normal)[f"x{index}"] = cost
+    return normal or last_resort
 
 
-@then("the chosen replica is one that a naive version finds best, for any servers")
+@then("the chosen replica is also the best of a naive implementation, for any servers")
 def step_choice_differential(context):
     @settings(max_examples=500)
     @given_any(st.lists(VIEWS, min_size=1, max_size=5), st.integers(0, 9))
@@ -273,9 +273,9 @@
             assert chosen is None
             return
         assert chosen is not None
-        # Near estimates count as equal, one such step after another.
-        slack = (1 + TIE_TOLERANCE) ** len(views)
-        assert costs[chosen.server_id] <= min(costs.values()) * slack + 1e-9
+        # Costs within the tolerance are ties, and the tolerance can add up from server to server.
+        tolerance = (1 + TIE_TOLERANCE) ** len(views)
+        assert costs[chosen.server_id] <= min(costs.values()) * tolerance + 1e-9
 
     check()
 
@@ -290,9 +290,9 @@
 
 @then("the core sends it to the other replica")
 def step_other_replica(context):
-    again = context.core.sent[-1]
-    assert again.shard == context.lost_send.shard
-    assert again.server_id != context.lost_send.server_id
+    resent = context.core.sent[-1]
+    assert resent.shard == context.lost_send.shard
+    assert resent.server_id != context.lost_send.server_id
 
 
 @then("the query in the core is answered in full")
@@ -337,44 +337,46 @@
     assert context.most_timers <= most, context.most_timers
 
 
-@then("owners of a server come from its zone first and move little when an entry goes")
+@then("owners of a server come from its own zone first and are kept when another entry leaves")
 def step_owners(context):
     entries = [EntryLocation(f"entry-{index}", ZONES[index % 3]) for index in range(12)]
-    gone = entries[0]
-    fewer = entries[1:]
+    removed = entries[0]
+    remaining = entries[1:]
     for index in range(60):
         zone = ZONES[index % 3]
-        near = {entry.name for entry in entries if entry.zone == zone}
+        in_zone = {entry.name for entry in entries if entry.zone == zone}
         owners = owners_of(f"srv-{index}", zone, entries, 2)
-        assert len(owners) == 2 and set(owners) <= near
-        after = owners_of(f"srv-{index}", zone, fewer, 2)
-        kept = [name for name in owners if name != gone.name]
+        assert len(owners) == 2 and set(owners) <= in_zone
+        after = owners_of(f"srv-{index}", zone, remaining, 2)
+        kept = [name for name in owners if name != removed.name]
         assert after[: len(kept)] == tuple(kept)
         assert len(owners_of(f"srv-{index}", zone, entries)) == 12
 
 
-def idle_view(name, zone, latency):
+def build_idle_view(name, zone, latency):
     server = Server(name, "127.0.0.1", 80, zone, 2, 8)
     view = ServerView(server, LatencyHistogram(latency), Policy())
     view.record_latency(latency, 100.0)
     return view
 
 
-@given("a near replica that takes {near:g} ms and a far one that takes {far:g} ms")
+@given(
+    "a replica in the own zone that takes {near:g} ms and one in another zone that takes {far:g} ms"
+)
 def step_near_and_far(context, near, far):
-    context.views = [idle_view("near", ZONES[0], near), idle_view("far", ZONES[1], far)]
+    context.views = [build_idle_view("near", ZONES[0], near), build_idle_view("far", ZONES[1], far)]
 
 
-@when("a near one is quick enough within {enough:g} ms")
-def step_near_enough(context, enough):
-    context.asked = {
+@when("a replica in the own zone is preferred up to {limit:g} ms")
+def step_own_zone_limit(context, limit):
+    context.chosen_ids = {
         choose_replica(
-            context.views, (), ZONES[0], 1.0, 100.0, Random(seed), other_zone_floor=enough
+            context.views, (), ZONES[0], 1.0, 100.0, Random(seed), other_zone_floor=limit
         ).server_id
         for seed in range(20)
     }
 
 
-@then("the {name} one is asked")
-def step_asked(context, name):
-    assert context.asked == {name}, context.asked
+@then("the {name} replica is chosen")
+def step_chosen(context, name):
+    assert context.chosen_ids == {name}, context.chosen_ids
--- a/features/steps/rules_steps.py
+++ b/features/steps/rules_steps.py
@@ -33,13 +33,13 @@
         context.rule_faults = exc.faults
 
 
-@then('rule (?P<position>\\d+) is refused at field "(?P<field>.*)"')
-def step_rule_refused(context, position, field):
-    shown = [(fault.position, fault.field) for fault in context.rule_faults]
-    assert shown == [(int(position), field)], shown
+@then('rule (?P<position>\\d+) is rejected at field "(?P<field>.*)"')
+def step_rule_rejected(context, position, field):
+    reported = [(fault.position, fault.field) for fault in context.rule_faults]
+    assert reported == [(int(position), field)], reported
 
 
-@then("(?P<count>\\d+) mistakes in the rules are shown")
+@then("(?P<count>\\d+) errors in the rules are reported")
 def step_count_faults(context, count):
     assert len(context.rule_faults) == int(count), context.rule_faults
 
@@ -91,9 +91,9 @@
 )
 
 
-def naive_fits(when, request):
-    """Say whether a rule's conditions hold, written as one plain sentence each."""
-    checks = [
+def naive_mismatches(when, request):
+    """Return the names of the conditions of a rule that do not hold."""
+    conditions = [
         ("kind", len(when.kind) == 0 or request.kind in when.kind),
         ("upstream", len(when.upstream) == 0 or request.upstream in when.upstream),
         ("caller", len(when.caller) == 0 or request.caller in when.caller),
@@ -104,26 +104,26 @@
     for header in when.headers:
         value = request.headers.get(header.name)
         if header.equals is not None:
-            good = value is not None and value == header.equals
+            holds = value is not None and value == header.equals
         else:
-            good = value is not None and value[: len(header.prefix)] == header.prefix
-        checks.append((f"headers.{header.name}", good))
-    return [name for name, good in checks if not good]
+            holds = value is not None and value[: len(header.prefix)] == header.prefix
+        conditions.append((f"headers.{header.name}", holds))
+    return [name for name, holds in conditions if not holds]
 
 
-@then("rules match and explain as a naive version does, for any rules and requests")
+@then("rules match and explain as a naive implementation does, for any rules and requests")
 def step_rules_differential(context):
     @given(RULE_LISTS, REQUESTS)
     def check(rules, request):
-        failing = [naive_fits(rule.when, request) for rule in rules.rules]
-        fitting = [index for index, fails in enumerate(failing) if not fails]
-        wanted = rules.rules[fitting[0]] if fitting else DEFAULT_RULE
-        assert rules.match(request) is wanted
+        mismatches = [naive_mismatches(rule.when, request) for rule in rules.rules]
+        matching = [index for index, names in enumerate(mismatches) if not names]
+        expected = rules.rules[matching[0]] if matching else DEFAULT_RULE
+        assert rules.match(request) is expected
         explanation = rules.explain(request)
-        assert explanation.rule is wanted
-        earlier = rules.rules[: fitting[0]] if fitting else rules.rules
+        assert explanation.rule is expected
+        earlier = rules.rules[: matching[0]] if matching else rules.rules
         assert explanation.passed_over == tuple(
-            (rule.name, failing[index][0]) for index, rule in enumerate(earlier)
+            (rule.name, mismatches[index][0]) for index, rule in enumerate(earlier)
         )
 
     check()
