--- a/src/alderhatch/core/fan_out.py
+++ b/src/alderhatch/core/fan_out.py
@@ -267,8 +267,8 @@
             self._finish(run)
             return
         if run.canary_phase and not run.attempts_out and not self._any_waiting(run):
-            # The servers are being probed. The probes show whether they crashed or whether many
-            # connections were lost for another reason.
+            # The servers are being probed. It shows a little later whether they crashed, or whether
+            # many servers were lost at the same moment.
             run.crash_check_until = (
                 run.crash_check_until or self._state.now + CRASH_CHECK_TIMEOUT_MS
             )
