--- a/src/alderhatch/core/fan_out.py
+++ b/src/alderhatch/core/fan_out.py
@@ -104,7 +104,11 @@
         dispatcher = self._dispatcher
         snapshot = run.shard_map.snapshot
         sent = dispatcher.send(run, state, snapshot)
-        if sent is SendOutcome.NO_SERVER and state.failures and state.reason not in NO_SAME_SERVER_RETRY:
+        if (
+            sent is SendOutcome.NO_SERVER
+            and state.failures
+            and state.reason not in NO_SAME_SERVER_RETRY
+        ):
             sent = dispatcher.send(run, state, snapshot, again=True)
         if sent is SendOutcome.NO_SERVER:
             if not state.tried:
