--- a/bench/forward.py
+++ b/bench/forward.py
@@ -22,7 +22,7 @@
 from alderhatch.codec import Codec
 from alderhatch.core.control.configuration_register import pack
 from alderhatch.core.forwarding.caller_hosts import HostRecord
-from alderhatch.core.forwarding.extra_budget import BudgetTerms
+from alderhatch.core.forwarding.retry_budget import BudgetLimits
 from alderhatch.core.forwarding.server_record import ServerRecord
 from alderhatch.entry.connection_pool import ConnectionPool
 from alderhatch.http.messages import HeaderFields, HttpRequest
@@ -93,7 +93,7 @@
 
     def __init__(self, ports: list[int]) -> None:
         clock = LoopClock()
-        terms = BudgetTerms(0.2, 200.0, 10_000.0)
+        terms = BudgetLimits(0.2, 200.0, 10_000.0)
         self.pool = ConnectionPool(0, spares=False)
         self.state = NodeState(
             "node", "zone", decode_configuration, self.pool, terms, POLICY, clock, Random(1)
--- a/features/steps/budget_part_steps.py
+++ b/features/steps/budget_part_steps.py
@@ -7,8 +7,12 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from alderhatch.core.forwarding.caller_hosts import MIN_HOSTS, HostRecord
-from alderhatch.core.forwarding.extra_budget import OWNER_PART, constant_part, owned_part
+from alderhatch.core.forwarding.caller_hosts import MIN_ACTIVE_HOSTS, HostRecord
+from alderhatch.core.forwarding.retry_budget import (
+    OWNER_FRACTION,
+    constant_fraction,
+    owner_constant_fraction,
+)
 from alderhatch.core.forwarding.shard_owners import ShardOwners
 from alderhatch.core.forwarding.target_table import TargetTable
 from alderhatch.platform.settings import POLICY
@@ -19,7 +23,7 @@
 
 def parts(alive, named):
     """Return the part of each host, those first that callers are sent to."""
-    return [constant_part(alive, named, index < named) for index in range(alive)]
+    return [constant_fraction(alive, named, index < named) for index in range(alive)]
 
 
 @given("{alive:d} hosts, of which callers are sent to {named:d}")
@@ -39,7 +43,7 @@
 @then("for any number of hosts the whole is kept, also while one of them takes another one's place")
 def step_whole(context):
     @settings(max_examples=300, derandomize=True, deadline=None)
-    @any_of(st.integers(MIN_HOSTS, 60), st.integers(0, 400), st.integers(0, 60))
+    @any_of(st.integers(MIN_ACTIVE_HOSTS, 60), st.integers(0, 400), st.integers(0, 60))
     def check(named, others, told):
         before = parts(named + others, named)
         assert sum(before) <= 1 + ROUNDING
@@ -58,11 +62,13 @@
 @then("where one host asks for all, the whole is kept while another one takes its place")
 def step_owned(context):
     @settings(max_examples=300, derandomize=True, deadline=None)
-    @any_of(st.integers(MIN_HOSTS, 60), st.integers(0, 400))
+    @any_of(st.integers(MIN_ACTIVE_HOSTS, 60), st.integers(0, 400))
     def check(named, others):
         alive = named + others
-        owner = owned_part(alive, named, True, True)
-        rest = [owned_part(alive, named, index < named, False) for index in range(1, alive)]
+        owner = owner_constant_fraction(alive, named, True, True)
+        rest = [
+            owner_constant_fraction(alive, named, index < named, False) for index in range(1, alive)
+        ]
         assert owner + sum(rest) <= 1 + ROUNDING
         # A host that is cut off goes on as the owner beside its successor.
         assert 2 * owner + sum(rest[1:]) <= 1 + ROUNDING
@@ -74,16 +80,16 @@
 @then("a host takes the owner's part only once a window has passed since gathers are divided")
 def step_after_window(context):
     owners = ShardOwners("host-0")
-    owners.take_hosts(
+    owners.set_hosts(
         (HostRecord(f"host-{index}", "zone-0", "a:1", True, 1.0) for index in range(4)), 0.0
     )
     table = TargetTable("zone-0", TERMS, POLICY, Random(1))
-    table.set_part(0.1, 4, {True: OWNER_PART, False: 0.01})
+    table.set_host_share(0.1, 4, {True: OWNER_FRACTION, False: 0.01})
     shards = tuple(f"shard-{number}" for number in range(40))
-    owners.take_gathers([shards], 500.0)
+    owners.set_gathers([shards], 500.0)
     table.set_owners(owners)
     for shard in shards:
-        part = OWNER_PART if owners.owner(shard) == "host-0" else 0.01
+        part = OWNER_FRACTION if owners.owner(shard) == "host-0" else 0.01
         for now, wanted in ((501.0, 0.1), (500.0 + TERMS.window, part)):
             found = table.budget_share(shard, now).constant
             assert abs(found - TERMS.constant * wanted) < ROUNDING, (shard, now, found)
--- a/features/steps/caller_hosts_steps.py
+++ b/features/steps/caller_hosts_steps.py
@@ -7,8 +7,8 @@
 
 from alderhatch.clock import SECOND, ManualClock
 from alderhatch.core.forwarding.caller_hosts import HostRecord, choose_caller_hosts
-from alderhatch.core.forwarding.extra_budget import BudgetTerms
 from alderhatch.core.forwarding.host_demand import HostDemand
+from alderhatch.core.forwarding.retry_budget import BudgetLimits
 from alderhatch.core.forwarding.server_record import ServerRecord
 from alderhatch.entry.connection_pool import ConnectionPool
 from alderhatch.node.node_state import NodeState
@@ -16,7 +16,7 @@
 from alderhatch.platform.settings import POLICY
 
 REPORT_EVERY = 500.0
-TERMS = BudgetTerms(0.2, 60.0, 10_000.0)
+TERMS = BudgetLimits(0.2, 60.0, 10_000.0)
 UPSTREAM = "shard-a"
 
 
@@ -122,7 +122,7 @@
 
 @then("the node holds {count:d} connections to each server at most")
 def step_share(context, count):
-    shares = context.beliefs.table.shares()
+    shares = context.beliefs.table.connection_shares()
     assert shares == {"i-1": count}, shares
 
 
--- a/features/steps/cold_servers_steps.py
+++ b/features/steps/cold_servers_steps.py
@@ -17,8 +17,8 @@
 from alderhatch.core.control.evacuations import Evacuations
 from alderhatch.core.entry_events import LoadReport
 from alderhatch.core.forwarding.caller_hosts import HostRecord
-from alderhatch.core.forwarding.cold_allowance import ColdTerms
-from alderhatch.core.forwarding.forward_run import MAX_WITHOUT_SERVER
+from alderhatch.core.forwarding.cold_start_limiter import ColdServerLimits
+from alderhatch.core.forwarding.forward_run import MAX_SERVER_WAIT
 from alderhatch.core.forwarding.route import UpstreamSettings
 from alderhatch.core.forwarding.server_record import ServerRecord
 from alderhatch.core.forwarding.shard_owners import ShardOwners
@@ -32,7 +32,7 @@
 from features.support.forward_model import TERMS
 
 UPSTREAM = "shard"
-BOUND = ColdTerms(1.5, 5.0)
+BOUND = ColdServerLimits(1.5, 5.0)
 SECOND = 1000.0
 ANSWER = 5.0
 
@@ -49,7 +49,7 @@
         self.tables = {}
         for name in self.names:
             table = TargetTable("zone-0", TERMS, POLICY, Random(name), BOUND)
-            table.set_part(1 / hosts, 1)
+            table.set_host_share(1 / hosts, 1)
             table.set_upstreams([settings])
             table.update(self.records, self.now)
             self.tables[name] = table
@@ -69,7 +69,7 @@
     def see_hosts(self, who, hosts):
         records = [HostRecord(name, "zone-0", f"{name}:1", True, 1.0) for name in hosts]
         for name in who:
-            if self.owners[name].take_hosts(records, self.now):
+            if self.owners[name].set_hosts(records, self.now):
                 self.tables[name].set_owners(self.owners[name])
 
     def list_again(self, warm_ups):
@@ -100,16 +100,16 @@
         self.asked += 1
         target = table.choose(UPSTREAM, (), self.now)
         if target is None:
-            assert table.usable(UPSTREAM, self.now) == 0
+            assert table.count_usable(UPSTREAM, self.now) == 0
             self.unserved += 1
             return
-        table.sent(target, self.asked, self.now)
+        table.record_sent(target, self.asked, self.now)
         self.arrivals.setdefault(target.server_id, []).append(self.now + self.rng.random() * 100)
         ends.append((self.now + ANSWER, table, target, self.asked))
 
     def _answer(self, table, target, attempt):
-        sent_at = table.ended(target, attempt)
-        table.answered(target, self.now - sent_at, LoadReport(1, 0), self.now)
+        sent_at = table.record_end(target, attempt)
+        table.record_answer(target, self.now - sent_at, LoadReport(1, 0), self.now)
 
     def most_in_a_second(self, server_id):
         times = sorted(self.arrivals.get(server_id, []))
@@ -171,7 +171,7 @@
 @then("whoever can't be served is told within {span:d} ms that nothing ran")
 def step_told(context, span):
     assert context.cold.unserved > 0
-    assert span >= MAX_WITHOUT_SERVER
+    assert span >= MAX_SERVER_WAIT
 
 
 @then("every request is sent")
@@ -251,7 +251,7 @@
 def step_none(context):
     tier = context.cold
     for table in tier.tables.values():
-        assert table.usable(UPSTREAM, tier.now) == 2
+        assert table.count_usable(UPSTREAM, tier.now) == 2
         for excluded in ((), ("server-1", "server-2")):
             chosen = table.choose(UPSTREAM, excluded, tier.now)
             assert chosen is None or chosen.zone != "zone-0"
--- a/features/steps/forwarding_crash_steps.py
+++ b/features/steps/forwarding_crash_steps.py
@@ -7,7 +7,7 @@
 
 from alderhatch.clock import SECOND, ManualClock
 from alderhatch.core.entry_events import AttemptFault
-from alderhatch.core.forwarding.crash_tally import CrashTally
+from alderhatch.core.forwarding.crash_counter import CrashCounter
 from alderhatch.node.node_state import NodeState
 from alderhatch.platform.settings import POLICY
 from features.support.forward_model import TERMS
@@ -17,7 +17,7 @@
 def step_beliefs(context):
     context.clock = ManualClock()
     context.beliefs = NodeState("host", "zone", None, None, TERMS, POLICY, context.clock, Random(1))
-    context.tally = CrashTally()
+    context.tally = CrashCounter()
 
 
 def saw(context, request, server, fault):
--- a/features/steps/forwarding_load_steps.py
+++ b/features/steps/forwarding_load_steps.py
@@ -6,8 +6,8 @@
 from hypothesis import given as for_all
 from hypothesis import strategies as st
 
-from alderhatch.core.forwarding.extra_budget import BudgetShare, ExtraBudget
 from alderhatch.core.forwarding.outcome import Answered
+from alderhatch.core.forwarding.retry_budget import BudgetShare, RetryBudget
 from features.support.forward_model import TERMS, ForwardModel, scatter_route
 
 SECOND = 1000.0
@@ -173,7 +173,7 @@
 def step_shared_budget(context):
     @for_all(TRAFFIC)
     def check(traffic):
-        hosts = [ExtraBudget(10_000.0) for _ in range(5)]
+        hosts = [RetryBudget(10_000.0) for _ in range(5)]
         share = BudgetShare(0.2, 6.0 / 5)
         now = 0.0
         firsts, extras = [], []
@@ -195,7 +195,7 @@
 
 @then("a budget that counts requests for an hour takes no more room than after a minute")
 def step_small(context):
-    budget = ExtraBudget(10_000.0)
+    budget = RetryBudget(10_000.0)
 
     def size_after(minutes):
         for at in range(0, minutes * 60_000, 100):
--- a/features/steps/forwarding_routes_steps.py
+++ b/features/steps/forwarding_routes_steps.py
@@ -8,8 +8,8 @@
 
 from alderhatch.core.forwarding.route import SplitUpstreams, WeightedUpstream
 from alderhatch.core.forwarding.route_table import RouteTable
-from alderhatch.core.forwarding.split import SplitCounter
 from alderhatch.core.forwarding.top_k import merge_top_k
+from alderhatch.core.forwarding.weighted_round_robin import WeightedRoundRobin
 from features.support.forward_model import single_route
 
 SEGMENTS = st.lists(st.sampled_from(["a", "b", "cc"]), max_size=4)
@@ -60,7 +60,7 @@
 
 @then('of 100 requests 75 go to "old", 25 to "new" and 0 to "off"')
 def step_split_counts(context):
-    counter = SplitCounter()
+    counter = WeightedRoundRobin()
     counts = Counter(counter.pick(context.split) for _ in range(100))
     assert counts == {"old": 75, "new": 25}, counts
 
--- a/features/steps/forwarding_run_steps.py
+++ b/features/steps/forwarding_run_steps.py
@@ -5,15 +5,15 @@
 from hypothesis import strategies as st
 
 from alderhatch.core.entry_events import AttemptFault
-from alderhatch.core.forwarding.extra_budget import BudgetTerms
 from alderhatch.core.forwarding.outcome import Answered, Failed, NotRun
-from alderhatch.core.forwarding.own_time import OwnTime
-from alderhatch.core.forwarding.run_terms import least_parts
+from alderhatch.core.forwarding.response_lead_time import ResponseLeadTime
+from alderhatch.core.forwarding.retry_budget import BudgetLimits
+from alderhatch.core.forwarding.run_limits import min_parts
 from features.support.forward_model import TERMS, ForwardModel, scatter_route, single_route
 
 SHARDS = [f"shard{number:02}" for number in range(20)]
 FAR = 20_000.0
-NO_BUDGET = BudgetTerms(0.0, 0.0, 10_000.0)
+NO_BUDGET = BudgetLimits(0.0, 0.0, 10_000.0)
 
 
 def kitchen(terms=TERMS):
@@ -153,7 +153,7 @@
     table = context.model.tables[0]
     context.failing = table.upstream("kitchen").targets["kitchen-0"]
     for _ in range(count):
-        table.failed(context.failing, AttemptFault.LOST, None, context.model.now)
+        table.record_failure(context.failing, AttemptFault.LOST, None, context.model.now)
 
 
 @then("it is left alone for 10 s at most")
@@ -203,7 +203,7 @@
 @then("these are the least numbers of parts")
 def step_least(context):
     for row in context.table:
-        found = least_parts(int(row["shards"]), float(row["coverage"]))
+        found = min_parts(int(row["shards"]), float(row["coverage"]))
         assert found == int(row["parts"]), (row, found)
 
 
@@ -259,17 +259,17 @@
 
 @given("answers of a route that were finished {spans} ms after they had to leave")
 def step_overruns(context, spans):
-    context.own_time = OwnTime()
+    context.own_time = ResponseLeadTime()
     for span in spans.replace(" and", ",").split(","):
-        context.own_time.saw(float(span))
+        context.own_time.record_overrun(float(span))
 
 
 @when("{count:d} answers are finished {span:d} ms after they had to leave")
 def step_more_overruns(context, count, span):
     for _ in range(count):
-        context.own_time.saw(float(span))
+        context.own_time.record_overrun(float(span))
 
 
 @then("the next answer leaves {span:d} ms before its target")
 def step_own_time(context, span):
-    assert context.own_time.span == span, context.own_time.span
+    assert context.own_time.lead_time == span, context.own_time.lead_time
--- a/features/steps/gather_split_steps.py
+++ b/features/steps/gather_split_steps.py
@@ -17,10 +17,17 @@
 from alderhatch.core.forwarding.outcome import Failed, Gathered
 from alderhatch.core.forwarding.parts_bundle import PartsBundle
 from alderhatch.core.forwarding.route import AllShards
-from alderhatch.core.forwarding.run_terms import PartRules, RunTimes
+from alderhatch.core.forwarding.run_limits import RunTimes, ShareRules
 from alderhatch.core.forwarding.server_record import ServerRecord
 from alderhatch.core.forwarding.shard_owners import ShardOwners
-from alderhatch.core.forwarding.split_run import AskHere, AskHost, Drop, Finish, Silent, SplitRun
+from alderhatch.core.forwarding.split_run import (
+    CancelShare,
+    Finish,
+    HostSilent,
+    QueryHost,
+    QueryLocally,
+    SplitRun,
+)
 from alderhatch.core.forwarding.target_table import TargetTable
 from alderhatch.core.forwarding.top_k import RECORD_BYTES, merge_top_k
 from alderhatch.entry.connection_pool import ConnectionPool
@@ -60,8 +67,8 @@
 
 def owners_at(name, hosts):
     owners = ShardOwners(name)
-    owners.take_gathers([tuple(SHARDS[:90])], 0.0)
-    owners.take_hosts(hosts, 0.0)
+    owners.set_gathers([tuple(SHARDS[:90])], 0.0)
+    owners.set_hosts(hosts, 0.0)
     return owners
 
 
@@ -155,9 +162,9 @@
     def take(self, effects):
         for effect in effects:
             match effect:
-                case AskHost(number, share):
+                case QueryHost(number, share):
                     self.begin(number, share.host.name, share.shards)
-                case AskHere(number, shards, is_repeat):
+                case QueryLocally(number, shards, is_repeat):
                     is_own = shards[0].startswith("0")
                     if not is_own:
                         self.asked_here += shards
@@ -168,7 +175,7 @@
                         span = 10.0 if is_own else 5.0
                         self.at(self.now + span, self.parts, number, shards)
                         self.at(self.now + span, self.end, number)
-                case Drop() | Silent():
+                case CancelShare() | HostSilent():
                     pass
                 case Finish(outcome):
                     self.outcome = outcome
@@ -203,7 +210,7 @@
                 self.take(event(*args))
             else:
                 self.now = max(self.now, due)
-                self.take(self.run.on_time(self.now))
+                self.take(self.run.on_timer(self.now))
 
 
 @given("a gather of 9 parts over 3 hosts")
@@ -321,7 +328,7 @@
         clock.now(),
     )
     hosts = [HostRecord(f"host-{index}", "zone-0", "a:1", True, 1.0) for index in range(6)]
-    state.owners.take_hosts(hosts, clock.now())
+    state.owners.set_hosts(hosts, clock.now())
     links = SimpleNamespace(is_sound=lambda name, now: True)
     context.gathers = SplitGathers(state, None, links)
     context.route = scatter_route(shards, destination=AllShards(tuple(shards), 10, 0.95))
@@ -367,9 +374,9 @@
     def take(effects):
         for effect in effects:
             match effect:
-                case AskHost(number, share):
+                case QueryHost(number, share):
                     shares[number] = list(share.shards)
-                case AskHere(number, shards, _):
+                case QueryLocally(number, shards, _):
                     shares[number] = list(shards)
                 case Finish(outcome):
                     finished.append((outcome, now))
@@ -378,7 +385,7 @@
     while not finished:
         now += data.draw(st.sampled_from((0.0, 1.0, 30.0, 400.0)))
         if now >= run.next_wake:
-            take(run.on_time(now))
+            take(run.on_timer(now))
             continue
         number = data.draw(st.sampled_from(sorted(shares)))
         match data.draw(st.sampled_from(("parts", "end", "lost"))):
@@ -459,10 +466,10 @@
 
 @then('a share that is {is_heard} asks "{first}" first, and {may} be asked for by another host')
 def step_first(context, is_heard, first, may):
-    rules = PartRules({"shard": frozenset("ab")}, False, DUE)
+    rules = ShareRules({"shard": frozenset("ab")}, False, DUE)
     times = RunTimes(0.0, DEADLINE, DEADLINE)
     run = ForwardRun(scatter_route(["shard"]), ("shard",), times, context.servers, rules)
-    run.may_leave_agreed = is_heard == "heard of"
+    run.may_use_other_servers = is_heard == "heard of"
     effects = run.start(0.0)
     if first == "none":
         assert not effects and not run.shards["shard"].is_spent
@@ -567,5 +574,5 @@
 @then("the gather ends, and nobody is asked for the third part")
 def step_nobody(context):
     assert context.model.run.finished
-    assert not [one for one in context.effects if isinstance(one, AskHere | AskHost)]
+    assert not [one for one in context.effects if isinstance(one, QueryLocally | QueryHost)]
     assert [one for one in context.effects if isinstance(one, Finish)]
--- a/features/steps/hedge_timer_steps.py
+++ b/features/steps/hedge_timer_steps.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from alderhatch.core.forwarding.extra_budget import BudgetTerms
 from alderhatch.core.forwarding.hedge_timer import HedgeTimer
+from alderhatch.core.forwarding.retry_budget import BudgetLimits
 from alderhatch.core.forwarding.target_table import TargetTable
 from alderhatch.platform.settings import POLICY
 
@@ -16,7 +16,7 @@
 
 @given("a route whose parts take {usual:g} ms, and {slow:g} ms at one in 5 servers")
 def step_route(context, usual, slow):
-    context.servers = TargetTable("zone-0", BudgetTerms(0.0, 100.0, 10_000.0), POLICY, Random(1))
+    context.servers = TargetTable("zone-0", BudgetLimits(0.0, 100.0, 10_000.0), POLICY, Random(1))
     for number in range(500):
         span = slow if number % 5 == 0 else usual
         context.servers.route_latencies(ROUTE).record(span)
--- a/features/steps/late_crash_steps.py
+++ b/features/steps/late_crash_steps.py
@@ -5,7 +5,7 @@
 from alderhatch.clock import SECOND
 from alderhatch.core.crash_watch import CrashWatch
 from alderhatch.core.entry_events import AttemptFault
-from alderhatch.core.forwarding.crash_tally import FORGET_AFTER, CrashTally
+from alderhatch.core.forwarding.crash_counter import CRASH_RETENTION, CrashCounter
 from features.steps.caller_hosts_steps import UPSTREAM, node_before_servers
 
 BODY = "a body"
@@ -48,7 +48,7 @@
     host.saw_attempt(BODY, target, AttemptFault.NOT_SENT, context.clock.now())
     assert len(host.take_crashes()) == 1
     assert host.take_crashes() == []
-    context.tally = CrashTally()
+    context.tally = CrashCounter()
 
 
 @when("the host follows the new leader, and another host reports the body's second crash")
@@ -68,6 +68,6 @@
 
 @then("a host that follows a leader 61 s after a crash reports it no more")
 def step_forgotten(context):
-    context.clock.advance(FORGET_AFTER + SECOND)
+    context.clock.advance(CRASH_RETENTION + SECOND)
     context.beliefs.follow_new_leader()
     assert context.beliefs.take_crashes() == []
--- a/features/steps/platform_standby_steps.py
+++ b/features/steps/platform_standby_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from alderhatch.core.forwarding.caller_hosts import MIN_TOLD
+from alderhatch.core.forwarding.caller_hosts import MIN_ADVERTISED_HOSTS
 from features.steps import platform_node_steps as node_steps
 from features.support.platform_tier import HOST, PlatformTier
 from features.support.tier import until
@@ -47,7 +47,7 @@
 def step_some_stand_by(context):
     tier = context.platform
     context.standing = until(lambda: standing_by(tier), "a host stands by")
-    assert len(context.standing) <= len(tier.running()) - MIN_TOLD, context.standing
+    assert len(context.standing) <= len(tier.running()) - MIN_ADVERTISED_HOSTS, context.standing
 
 
 @then("a request for a path without a route gets 404 at each host")
--- a/features/support/forward_model.py
+++ b/features/support/forward_model.py
@@ -8,16 +8,16 @@
 
 from alderhatch.core.entry_events import AttemptFault, LoadReport
 from alderhatch.core.forwarding.effects import Cancel, Finish, Send
-from alderhatch.core.forwarding.extra_budget import BudgetTerms
 from alderhatch.core.forwarding.forward_run import ForwardRun
+from alderhatch.core.forwarding.retry_budget import BudgetLimits
 from alderhatch.core.forwarding.route import AllShards, OneUpstream, Route
-from alderhatch.core.forwarding.run_terms import RunTimes
+from alderhatch.core.forwarding.run_limits import RunTimes
 from alderhatch.core.forwarding.server_record import ServerRecord
 from alderhatch.core.forwarding.target_table import TargetTable
 from alderhatch.node.forward_runner import LOSER_GRACE
 from alderhatch.platform.settings import POLICY
 
-TERMS = BudgetTerms(0.2, 62.0, 10_000.0)
+TERMS = BudgetLimits(0.2, 62.0, 10_000.0)
 WAY = 0.5
 
 
@@ -103,7 +103,7 @@
             for index in range(hosts)
         ]
         for table in self.tables:
-            table.set_part(1 / hosts, hosts)
+            table.set_host_share(1 / hosts, hosts)
         self.sends = 0
         self.needless_crossings = 0
         """Requests to another zone although a server of the host's own zone has the shard."""
@@ -158,7 +158,7 @@
         run = self.runs[number]
         if run.finished or self.now < run.next_wake:
             return
-        self._carry_out(number, host, run.on_time(self.now))
+        self._carry_out(number, host, run.on_timer(self.now))
         self._plan(number, host)
 
     def _carry_out(self, number, host, effects):
@@ -192,21 +192,21 @@
         if send is None:
             return
         table = self.tables[host]
-        sent_at = table.ended(send.target, attempt)
+        sent_at = table.record_end(send.target, attempt)
         if sent_at is not None:
-            table.abandoned(send.target, sent_at, self.now)
+            table.record_abandoned(send.target, sent_at, self.now)
 
     def _end(self, number, host, send, server, fault):
         if self._open.pop(send.attempt, None) is None:
             return
         table = self.tables[host]
         run = self.runs[number]
-        sent_at = table.ended(send.target, send.attempt)
+        sent_at = table.record_end(send.target, send.attempt)
         if fault is None:
-            table.answered(send.target, self.now - sent_at, server.load(self.now), self.now)
+            table.record_answer(send.target, self.now - sent_at, server.load(self.now), self.now)
             effects = run.on_answer(send.attempt, send.upstream, self.now)
         else:
-            table.failed(send.target, fault, None, self.now)
+            table.record_failure(send.target, fault, None, self.now)
             effects = run.on_fault(send.attempt, fault, None, self.now)
         self._carry_out(number, host, effects)
         self._plan(number, host)
--- a/src/alderhatch/core/forwarding/caller_hosts.py
+++ b/src/alderhatch/core/forwarding/caller_hosts.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-MIN_HOSTS = 4
+MIN_ACTIVE_HOSTS = 4
 """With fewer, the loss of one would take over a quarter of the requests along until callers hear
 of it."""
 STRONG_SHARE = 0.75
@@ -17,7 +17,7 @@
 server with two slots runs, one for a hedge beside them, one that was closed a moment ago."""
 RESERVE = 8
 """How many hosts behind the chosen ones are known by name, to take the place of those that go."""
-MIN_TOLD = 16
+MIN_ADVERTISED_HOSTS = 16
 """A tier of no more hosts than this knows all of them by name."""
 COUNT_BITS = 4
 """The number of live hosts is told with so many binary digits: exact for few, an eighth too large
@@ -79,7 +79,7 @@
     has = 0.0
     for host in ranked:
         weak = host.processor < STRONG_SHARE * best
-        is_enough = len(chosen) >= MIN_HOSTS and has >= processor_needed
+        is_enough = len(chosen) >= MIN_ACTIVE_HOSTS and has >= processor_needed
         if is_enough and (weak or len(chosen) >= connections // CONNECTIONS_EACH):
             break
         chosen.append(host)
@@ -87,7 +87,7 @@
     return chosen
 
 
-def hosts_to_tell(hosts: Iterable[HostRecord], chosen: int) -> list[HostRecord]:
+def advertised_hosts(hosts: Iterable[HostRecord], chosen: int) -> list[HostRecord]:
     """Return the hosts that all others need to know by name: the chosen ones, and a reserve.
 
     Told of every host, each of hundreds would be sent all of them with each change of any: bytes
@@ -97,10 +97,10 @@
         hosts: The live hosts, or those of them that serve.
         chosen: How many of them callers are sent to.
     """
-    return rank_hosts(hosts)[: max(MIN_TOLD, chosen + RESERVE)]
+    return rank_hosts(hosts)[: max(MIN_ADVERTISED_HOSTS, chosen + RESERVE)]
 
 
-def told_count(alive: int) -> int:
+def advertised_host_count(alive: int) -> int:
     """Return how many hosts are told to be live, rounded up where they are many.
 
     Budgets are divided by it, so it is never too small. Rounded, it changes seldom; each change
--- a/src/alderhatch/core/forwarding/cold_allowance.py
+++ b/src/alderhatch/core/forwarding/cold_start_limiter.py
@@ -20,7 +20,7 @@
 """How late the list's word that a server has become cold may come."""
 
 
-class ColdTerms(NamedTuple):
+class ColdServerLimits(NamedTuple):
     """What all hosts together may send to a cold server in a second."""
 
     tolerance: float
@@ -37,7 +37,7 @@
         return max(1, floor(rate * self.tolerance + self.margin) // OWNERS_AT_ONCE)
 
 
-class ColdAllowance:
+class ColdServerLimiter:
     """Bounds what one host sends to one server while that is cold.
 
     A server that has started, or whose cache was emptied, crashes under the load that it bears when
--- a/src/alderhatch/core/forwarding/decision.py
+++ b/src/alderhatch/core/forwarding/decision.py
@@ -46,7 +46,7 @@
     budget: float = -1.0
     """The part of the upstream's budget that was left; -1 if it was not needed."""
 
-    def plain(self) -> dict[str, object]:
+    def log_fields(self) -> dict[str, object]:
         """Return the fields that say something, with short figures, for a log line."""
         shown: dict[str, object] = {"at": round(self.at, 1), "step": self.kind, "shard": self.shard}
         if self.server_id:
--- a/src/alderhatch/core/forwarding/forward_run.py
+++ b/src/alderhatch/core/forwarding/forward_run.py
@@ -12,9 +12,9 @@
 from .hedge_timer import HedgeTimer
 from .outcome import Answered, Failed, FailureReason, NotRun, Outcome
 from .route import AllShards, Route
-from .run_terms import PartRules, RunTimes, least_parts
+from .run_limits import RunTimes, ShareRules, min_parts
 from .run_trace import RunTrace
-from .shard_state import Sent, ShardState
+from .shard_state import SentAttempt, ShardState
 from .target import Target
 from .target_table import TargetTable
 
@@ -23,7 +23,7 @@
 """Requests for one shard, refused ones included; more would only add to an overload."""
 LOOK_AGAIN: Millis = 25.0
 """How soon a shard without a usable server is looked at again."""
-MAX_WITHOUT_SERVER: Millis = 200.0
+MAX_SERVER_WAIT: Millis = 200.0
 """How long a shard waits for any server that may be asked. Refusals bar a server for 100 ms unless
 it says otherwise; longer than that twice over, the caller does better elsewhere."""
 REFUSED_PAUSE: Millis = 30.0
@@ -55,7 +55,7 @@
         upstreams: tuple[str, ...],
         times: RunTimes,
         table: TargetTable,
-        rules: PartRules | None = None,
+        rules: ShareRules | None = None,
     ) -> None:
         self.route = route
         self.times = times
@@ -65,10 +65,10 @@
         """Requests sent beside one that is still out."""
         self.retries = 0
         """Requests sent after one that came to nothing."""
-        self.may_leave_agreed = False
+        self.may_use_other_servers = False
         """Whether it may go to servers that hosts have not agreed on, as the first host has heard
         of it and won't ask beside it."""
-        self.left_parts_out = False
+        self.omitted_late_parts = False
         """Whether the answer left without parts that might still have come, as it was due."""
         self._was_due_in_time = False
         """Whether the least coverage was reached before the answer was due."""
@@ -89,7 +89,7 @@
         self._hedge_timer = HedgeTimer(route.name, table, None if rules is None else rules.due)
         self._is_repeat = rules is not None and rules.is_repeat
         self._due = times.answer_by if rules is None else rules.due
-        self._least = 0 if rules is not None else least_parts(len(upstreams), coverage)
+        self._least = 0 if rules is not None else min_parts(len(upstreams), coverage)
 
     @property
     def due(self) -> Millis:
@@ -105,7 +105,7 @@
 
     def start(self, now: Millis) -> list[Effect]:
         """Send the first requests, or refuse what can't be served at all."""
-        servable = sum(1 for name in self.shards if self._table.usable(name, now))
+        servable = sum(1 for name in self.shards if self._table.count_usable(name, now))
         if servable < self._least:
             self._finish(NotRun(FailureReason.NO_SERVER, DEFAULT_RETRY_AFTER))
             return self._flush()
@@ -116,7 +116,7 @@
         self._settle(now)
         return self._flush()
 
-    def let_go(self) -> list[Effect]:
+    def stop(self) -> list[Effect]:
         """Ask nobody else; what is out already may end within its grace."""
         self._finish(self._answer())
         return self._flush()
@@ -168,7 +168,7 @@
         self._settle(now)
         return self._flush()
 
-    def on_time(self, now: Millis) -> list[Effect]:
+    def on_timer(self, now: Millis) -> list[Effect]:
         """Do what is due by now."""
         if now >= self.times.deadline:
             self._finish(self._outcome_without_answer(FailureReason.TIMEOUT))
@@ -188,10 +188,10 @@
 
     @property
     def next_wake(self) -> Millis:
-        """When ``on_time`` is to be called next, at the latest.
+        """When ``on_timer`` is to be called next, at the latest.
 
         A part that comes in only takes things off what is due. So it is not worked out anew for
-        each of them; ``on_time`` does nothing if it is called too early.
+        each of them; ``on_timer`` does nothing if it is called too early.
         """
         if self._wake is None:
             self._wake = self._next_due()
@@ -227,12 +227,12 @@
         shard.without_server_since = None
         self._trace.note(now, kind, shard, target)
         shard.hedge_at = None
-        shard.out[attempt] = Sent(target, now)
+        shard.out[attempt] = SentAttempt(target, now)
         shard.sends += 1
         shard.may_have_run.add(target.server_id)
         self._note_spent(shard, target)
         self._shard_of[attempt] = shard
-        self._table.sent(target, attempt, now)
+        self._table.record_sent(target, attempt, now)
         self._effects.append(Send(attempt, target, shard.upstream))
         return True
 
@@ -248,7 +248,7 @@
         refused = {name for name, at in shard.refused_by.items() if now - at < REFUSED_PAUSE}
         excluded = shard.may_have_run | refused
         agreed = self._agreed(shard)
-        only = None if self.may_leave_agreed and not self._is_repeat else agreed
+        only = None if self.may_use_other_servers and not self._is_repeat else agreed
         target = None
         if len(shard.may_have_run) < self.route.max_servers:
             target = table.choose_sound(shard.upstream, excluded, now, agreed)
@@ -267,7 +267,7 @@
             return
         if shard.without_server_since is None:
             shard.without_server_since = now
-        if now - shard.without_server_since >= MAX_WITHOUT_SERVER:
+        if now - shard.without_server_since >= MAX_SERVER_WAIT:
             self._give_up(shard, now, "no server could be asked for too long")
             return
         shard.waits_until = now + LOOK_AGAIN
@@ -312,7 +312,7 @@
 
     # The end
 
-    def _peek(self, attempt: int) -> Sent | None:
+    def _peek(self, attempt: int) -> SentAttempt | None:
         shard = self._shard_of.get(attempt)
         return shard.out.get(attempt) if shard is not None else None
 
@@ -332,7 +332,7 @@
         if parts >= self._least and (not waiting or late):
             # One that reached its least coverage long after it was due tells nothing of how long
             # the host takes for an answer.
-            self.left_parts_out = bool(waiting) and self._was_due_in_time
+            self.omitted_late_parts = bool(waiting) and self._was_due_in_time
             self._finish(self._answer())
         elif parts + waiting < self._least:
             self._finish(self._outcome_without_answer(FailureReason.FAILED))
--- a/src/alderhatch/core/forwarding/hand_over.py
+++ b/src/alderhatch/core/forwarding/hand_over.py
@@ -9,11 +9,11 @@
 from ...errors import ANSWERS, AlderhatchError, ErrorKind, Failure, Resend
 from .caller_hosts import HostRecord
 
-MAX_HOSTS = 3
+MAX_HOSTS_TRIED = 3
 """How many hosts are tried with one request; each further one costs its caller time."""
-AVOID_FOR: Millis = 1 * SECOND
+AVOID_DURATION: Millis = 1 * SECOND
 """How long a host is passed over that could not be reached or turned a request away."""
-AVOID_SILENT_FOR: Millis = 300.0
+AVOID_SILENT_DURATION: Millis = 300.0
 """The same for one that said nothing in time, which may only be busy: its work falls to others."""
 RETRY_AFTER: Millis = 300.0
 
@@ -33,7 +33,7 @@
         self._rng = rng
         self._avoided_until: dict[str, Millis] = {}
 
-    def avoid(self, name: str, now: Millis, span: Millis = AVOID_FOR) -> None:
+    def avoid(self, name: str, now: Millis, span: Millis = AVOID_DURATION) -> None:
         """Pass a host over for a while."""
         known = {one: until for one, until in self._avoided_until.items() if until > now}
         self._avoided_until = {**known, name: now + span}
@@ -92,7 +92,7 @@
         if now >= self._deadline:
             raise self._last or _failed(ErrorKind.DEADLINE_TOO_SHORT, "no time is left")
         host: HostRecord | None = None
-        if len(self._tried) < MAX_HOSTS:
+        if len(self._tried) < MAX_HOSTS_TRIED:
             host = self._targets.choose(self._hosts(), self._tried, now)
         if host is None:
             message = "this host stands by and reaches none that serves"
--- a/src/alderhatch/core/forwarding/own_time.py
+++ b/src/alderhatch/core/forwarding/response_lead_time.py
@@ -16,7 +16,7 @@
 """The share of answers that should be on the wire in time."""
 
 
-class OwnTime:
+class ResponseLeadTime:
     """Learns from how late the answers of one route were finished.
 
     On a small host the parts of a hundred shards keep the processor busy just when the answer is
@@ -27,12 +27,12 @@
     def __init__(self) -> None:
         self._overruns: deque[Millis] = deque(maxlen=SAMPLES)
 
-    def saw(self, overrun: Millis) -> None:
+    def record_overrun(self, overrun: Millis) -> None:
         """Take by how much an answer that had to leave was finished after that moment."""
         self._overruns.append(min(max(0.0, overrun), MOST))
 
     @property
-    def span(self) -> Millis:
+    def lead_time(self) -> Millis:
         """How long before its target an answer has to leave."""
         if not self._overruns:
             return LEAST
--- a/src/alderhatch/core/forwarding/extra_budget.py
+++ b/src/alderhatch/core/forwarding/retry_budget.py
@@ -17,7 +17,7 @@
 OTHERS_PART = 0.2
 """The part for all others. The rest is for moments in which hosts don't agree on who is which."""
 
-OWNER_PART = 0.35
+OWNER_FRACTION = 0.35
 """The part for the host that asks an upstream for all; one that is cut off may go on as the owner
 beside its successor."""
 REST_PART = 0.2
@@ -27,7 +27,7 @@
 """The part for all that callers are not sent to, where one host asks for all."""
 
 
-class BudgetTerms(NamedTuple):
+class BudgetLimits(NamedTuple):
     """How many extra requests all hosts together may send to one upstream."""
 
     ratio: float
@@ -44,7 +44,7 @@
     constant: float
 
 
-def constant_part(alive: int, named: int, is_named: bool) -> float:
+def constant_fraction(alive: int, named: int, is_named: bool) -> float:
     """Return which part of the constant one host may use.
 
     Hosts that stand by send next to nothing. Divided evenly, the budget of two hundred hosts left
@@ -65,7 +65,7 @@
     return min(OTHERS_PART / others, (NAMED_PART + OTHERS_PART) * evenly)
 
 
-def owned_part(alive: int, named: int, is_named: bool, is_owner: bool) -> float:
+def owner_constant_fraction(alive: int, named: int, is_named: bool, is_owner: bool) -> float:
     """Return which part of the constant one host may use where one host asks an upstream for all.
 
     Divided among all that callers are sent to, five sixths of it would be with hosts that have no
@@ -78,7 +78,7 @@
         is_owner: Whether it is the one that asks.
     """
     if is_owner:
-        return OWNER_PART
+        return OWNER_FRACTION
     if is_named:
         return REST_PART / max(1, named - 1)
     return STANDBYS_PART / max(1, alive - named)
@@ -123,12 +123,12 @@
         return self._sum
 
 
-class ExtraBudget:
+class RetryBudget:
     """Counts the requests of one upstream in a sliding window.
 
     The budget is shared by all hosts without a message for each request: the part that grows with
     the requests is each host's own, since each counts its own requests, and of the constant each
-    has its ``constant_part``. Together they never exceed the whole, whoever gets the traffic.
+    has its ``constant_fraction``. Together they never exceed the whole, whoever gets the traffic.
 
     Args:
         window: The length of the window in milliseconds.
--- a/src/alderhatch/core/forwarding/run_terms.py
+++ b/src/alderhatch/core/forwarding/run_limits.py
@@ -18,7 +18,7 @@
     """When the caller has to have its final answer."""
 
 
-class PartRules(NamedTuple):
+class ShareRules(NamedTuple):
     """What binds a run that asks only for a share of a gather."""
 
     servers: Mapping[str, Container[str]]
@@ -31,7 +31,7 @@
     """When the answer of the whole gather should leave."""
 
 
-def least_parts(shards: int, min_coverage: float) -> int:
+def min_parts(shards: int, min_coverage: float) -> int:
     """Return the fewest shards whose share of all is no less than the coverage; at least one."""
     least = int(min_coverage * shards)
     while least < shards and least / shards < min_coverage:
--- a/src/alderhatch/core/forwarding/run_trace.py
+++ b/src/alderhatch/core/forwarding/run_trace.py
@@ -55,7 +55,7 @@
         budget = -1.0 if is_first else self._table.budget_level(upstream, now)
         age = now - target.others_at if target.others_at > NEVER else -1.0
         load = target.load(now)
-        candidates = self._table.usable(upstream, now)
+        candidates = self._table.count_usable(upstream, now)
         self.decisions.append(
             Decision(at, kind, upstream, target.server_id, why, load, age, candidates, budget)
         )
--- a/src/alderhatch/core/forwarding/belief_change.py
+++ b/src/alderhatch/core/forwarding/server_state_change.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class BeliefChange(NamedTuple):
+class ServerStateChange(NamedTuple):
     """What this host believes of a server is no longer what it was."""
 
     server_id: str
--- a/src/alderhatch/core/forwarding/shard_owners.py
+++ b/src/alderhatch/core/forwarding/shard_owners.py
@@ -11,7 +11,7 @@
 
 MIN_PARTS = 40
 """Fewer parts keep one host busy for less time than the way to another host and back costs."""
-MIN_HOSTS = 3
+MIN_SPLIT_HOSTS = 3
 """Two hosts would halve the time of a gather and double the hosts that it can fail with."""
 
 
@@ -34,12 +34,12 @@
         """Worked out so far, by shard."""
         self._owned_from: dict[str, Millis] = {}
         self._taken_at: Millis = 0.0
-        self.divided_since: Millis | None = None
+        self.split_since: Millis | None = None
         """Since when hosts ask for large gathers together; None if they don't."""
         self.hosts: dict[str, HostRecord] = {}
         """The hosts that own shards, by name."""
 
-    def take_hosts(self, hosts: Iterable[HostRecord], now: Millis) -> bool:
+    def set_hosts(self, hosts: Iterable[HostRecord], now: Millis) -> bool:
         """Take the hosts that callers are sent to; return whether owners may have changed."""
         hosts = list(hosts)
         best = max((host.processor for host in hosts), default=0.0)
@@ -51,7 +51,7 @@
         self._divide(now)
         return True
 
-    def take_gathers(self, gathers: Iterable[tuple[str, ...]], now: Millis) -> bool:
+    def set_gathers(self, gathers: Iterable[tuple[str, ...]], now: Millis) -> bool:
         """Take the shards of each gather; return whether owners may have changed."""
         distinct = tuple(sorted(set(gathers)))
         if distinct == self._gathers:
@@ -65,9 +65,9 @@
         self._owners = {}
         is_divided = any(self.splits(len(shards)) for shards in self._gathers)
         if not is_divided:
-            self.divided_since = None
-        elif self.divided_since is None:
-            self.divided_since = now
+            self.split_since = None
+        elif self.split_since is None:
+            self.split_since = now
         for shards in self._gathers if self.hosts else ():
             self._divide_gather(shards)
         self._owned_from = {
@@ -101,11 +101,11 @@
 
     def splits(self, parts: int) -> bool:
         """Return whether a gather of so many parts is asked for by several hosts."""
-        return 0 < self._split_parts <= parts and len(self.hosts) >= MIN_HOSTS
+        return 0 < self._split_parts <= parts and len(self.hosts) >= MIN_SPLIT_HOSTS
 
     def divides(self, shard: str) -> bool:
         """Return whether a shard is of a gather that hosts ask for together."""
-        return self.divided_since is not None and shard in self._owners
+        return self.split_since is not None and shard in self._owners
 
     def owned_from(self, shard: str) -> Millis | None:
         """Return since when this host owns a shard; None if another one does."""
--- a/src/alderhatch/core/forwarding/shard_state.py
+++ b/src/alderhatch/core/forwarding/shard_state.py
@@ -9,7 +9,7 @@
 from .target import Target
 
 
-class Sent(NamedTuple):
+class SentAttempt(NamedTuple):
     """One attempt that is out."""
 
     target: Target
@@ -21,7 +21,7 @@
     """One shard of a request, or its only upstream if it goes to a single server."""
 
     upstream: str
-    out: dict[int, Sent] = field(default_factory=dict)
+    out: dict[int, SentAttempt] = field(default_factory=dict)
     """Attempts whose outcome is not known."""
     hedge_at: Millis | None = None
     """When another server is asked as well; None until it is worked out."""
--- a/src/alderhatch/core/forwarding/split_run.py
+++ b/src/alderhatch/core/forwarding/split_run.py
@@ -9,27 +9,27 @@
 from .gather_plan import GatherPlan, HostShare
 from .outcome import Failed, FailureReason, Gathered, Outcome
 from .parts_bundle import PartsBundle
-from .run_terms import RunTimes
+from .run_limits import RunTimes
 
-FIRST_WORD = 0.25
+FIRST_REPORT_FRACTION = 0.25
 """After this part of the time until the answer is due a host tells what it has, if only nothing."""
 PATIENCE = 0.5
 """After this part the parts of a host that has said nothing are asked for here as well."""
 MIN_PATIENCE: Millis = 60.0
 """A host that works on two other large gathers says its first word some 30 ms late. Asked beside it
 sooner, servers get each part twice just when hosts are busy."""
-HOP: Millis = 3.0
+HOP_LATENCY: Millis = 3.0
 """From one host's last word to the other's merge of it."""
 
 
-class AskHost(NamedTuple):
+class QueryHost(NamedTuple):
     """Have another host ask for its share."""
 
     number: int
     share: HostShare
 
 
-class AskHere(NamedTuple):
+class QueryLocally(NamedTuple):
     """Ask for shards at this host."""
 
     number: int
@@ -38,13 +38,13 @@
     """Whether another host may have asked for them before."""
 
 
-class Drop(NamedTuple):
+class CancelShare(NamedTuple):
     """Nothing of a share is wanted any more."""
 
     number: int
 
 
-class Silent(NamedTuple):
+class HostSilent(NamedTuple):
     """A host has said nothing for so long that it should be passed over for a while."""
 
     number: int
@@ -56,7 +56,7 @@
     outcome: Outcome
 
 
-Effect: TypeAlias = AskHost | AskHere | Drop | Silent | Finish
+Effect: TypeAlias = QueryHost | QueryLocally | CancelShare | HostSilent | Finish
 
 
 @dataclass(slots=True)
@@ -89,7 +89,7 @@
     def __init__(self, plan: GatherPlan, least: int, times: RunTimes) -> None:
         self.times = times
         self.finished = False
-        self.left_parts_out = False
+        self.omitted_late_parts = False
         """Whether the answer left without parts that might still have come, as it was due."""
         self._plan = plan
         self._least = least
@@ -106,7 +106,7 @@
         span = max(MIN_PATIENCE, PATIENCE * (self.times.answer_by - now))
         self._patient_until = now + span
         for share in self._plan.others:
-            self._effects.append(AskHost(self._add(share.shards, True), share))
+            self._effects.append(QueryHost(self._add(share.shards, True), share))
         if self._plan.own:
             self._ask_here(self._plan.own, False)
         return self._flush()
@@ -149,7 +149,7 @@
         self._replace(self._shares[number], may_have_run)
         return self._settle(now)
 
-    def on_time(self, now: Millis) -> list[Effect]:
+    def on_timer(self, now: Millis) -> list[Effect]:
         """Do what is due by now."""
         if now >= self.times.deadline:
             self._finish(self._outcome_without_answer(FailureReason.TIMEOUT))
@@ -157,13 +157,13 @@
         if now >= self._patient_until:
             for number, share in enumerate(list(self._shares)):
                 if self._is_awaited(share):
-                    self._effects.append(Silent(number))
+                    self._effects.append(HostSilent(number))
                     self._challenge(number, share)
         return self._settle(now)
 
     @property
     def next_wake(self) -> Millis:
-        """When ``on_time`` is to be called next, at the latest."""
+        """When ``on_timer`` is to be called next, at the latest."""
         due = self.times.deadline
         if self._parts_in >= self._least:
             due = min(due, self.times.answer_by)
@@ -180,7 +180,7 @@
         return len(self._shares) - 1
 
     def _ask_here(self, shards: tuple[str, ...], is_repeat: bool) -> None:
-        self._effects.append(AskHere(self._add(shards, False), shards, is_repeat))
+        self._effects.append(QueryLocally(self._add(shards, False), shards, is_repeat))
 
     def _challenge(self, number: int, share: _Share) -> None:
         """Ask here as well for what a silent host was asked for."""
@@ -194,7 +194,7 @@
         rival = self._shares[share.rival]
         if not rival.ended:
             rival.ended = True
-            self._effects.append(Drop(share.rival))
+            self._effects.append(CancelShare(share.rival))
 
     def _has_rival(self, share: _Share) -> bool:
         return share.rival is not None and not self._shares[share.rival].ended
@@ -217,7 +217,7 @@
         waiting = len(set().union(*(one.missing for one in self._shares if not one.ended)))
         late = now >= self.times.answer_by
         if self._parts_in >= self._least and (not waiting or late):
-            self.left_parts_out = bool(waiting) and self._was_due_in_time
+            self.omitted_late_parts = bool(waiting) and self._was_due_in_time
             self._finish(self._answer())
         elif self._parts_in + waiting < self._least:
             self._finish(self._outcome_without_answer(FailureReason.FAILED))
@@ -238,12 +238,12 @@
         self.finished = True
         for number, share in enumerate(self._shares):
             if not share.ended:
-                self._effects.append(Drop(number))
+                self._effects.append(CancelShare(number))
         self._effects.append(Finish(outcome))
 
     def _flush(self) -> list[Effect]:
         effects = self._effects
         self._effects = []
         if self.finished:
-            return [one for one in effects if not isinstance(one, AskHost | AskHere)]
+            return [one for one in effects if not isinstance(one, QueryHost | QueryLocally)]
         return effects
--- a/src/alderhatch/core/forwarding/target.py
+++ b/src/alderhatch/core/forwarding/target.py
@@ -7,7 +7,7 @@
 from ..policy import Policy
 from ..server_view import NEVER, ServerView
 from ..shard_map import Server
-from .cold_allowance import LIST_BEHIND, ColdAllowance
+from .cold_start_limiter import LIST_BEHIND, ColdServerLimiter
 
 STALL_FACTOR = 4.0
 """A server whose oldest request takes longer than this multiple of the median stands still."""
@@ -40,7 +40,7 @@
         self._trouble_at: Millis = NEVER
         self.answered_at: Millis = NEVER
         """When it last answered anything."""
-        self.cold = ColdAllowance()
+        self.cold = ColdServerLimiter()
         """What it may get while it is cold."""
         self.cold_span: Millis = 0.0
         """How long its upstream's servers are cold after a start."""
--- a/src/alderhatch/core/forwarding/target_table.py
+++ b/src/alderhatch/core/forwarding/target_table.py
@@ -13,18 +13,18 @@
 from ..policy import Policy
 from ..replica_choice import choose_replica
 from ..shard_map import Server
-from .belief_change import BeliefChange
-from .cold_allowance import ColdTerms
-from .extra_budget import BudgetShare, BudgetTerms
+from .cold_start_limiter import ColdServerLimits
+from .retry_budget import BudgetLimits, BudgetShare
 from .route import UpstreamSettings
 from .server_record import ServerRecord
+from .server_state_change import ServerStateChange
 from .shard_owners import ShardOwners
 from .target import Target
 from .upstream_targets import DEFAULT_MAX_CONNECTIONS, UpstreamTargets, usable
 
-EVACUATED = "evacuated"
+EVACUATED_SOURCE = "evacuated"
 """The source of the word that nothing may be sent to a server's availability zone."""
-LISTED = "list"
+LIST_SOURCE = "list"
 """The source of the word that a server leaves: it is draining there, or gone."""
 MAX_CHANGES = 300
 """Changes of belief kept until somebody asks for them; the oldest are dropped."""
@@ -47,10 +47,10 @@
     def __init__(
         self,
         zone: str,
-        terms: BudgetTerms,
+        terms: BudgetLimits,
         policy: Policy,
         rng: Random,
-        cold: ColdTerms | None = None,
+        cold: ColdServerLimits | None = None,
     ) -> None:
         self._zone = zone
         self._terms = terms
@@ -70,7 +70,7 @@
         """Requests sent to servers since somebody asked."""
         self._upstreams: dict[str, UpstreamTargets] = {}
         self._route_latencies: dict[str, LatencyHistogram] = {}
-        self._changes: deque[BeliefChange] = deque(maxlen=MAX_CHANGES)
+        self._changes: deque[ServerStateChange] = deque(maxlen=MAX_CHANGES)
 
     # Who is there
 
@@ -83,18 +83,21 @@
             self._upstreams[name] = known
         return known
 
-    def set_part(
-        self, constant_part: float, connecting: int, owned_parts: dict[bool, float] | None = None
+    def set_host_share(
+        self,
+        constant_fraction: float,
+        connecting: int,
+        owned_parts: dict[bool, float] | None = None,
     ) -> None:
         """Take which part of budgets and connections is this host's.
 
         Args:
-            constant_part: Of the constant of each upstream's budget.
+            constant_fraction: Of the constant of each upstream's budget.
             owned_parts: The same for upstreams that one host asks for all, by whether this one
                 does; None for no difference.
             connecting: How many hosts hold connections to all servers.
         """
-        self._constant_part = constant_part
+        self._constant_part = constant_fraction
         self._owned_parts = owned_parts or {}
         self._connecting_hosts = max(1, connecting)
         for upstream in self._upstreams.values():
@@ -131,7 +134,7 @@
     def _take_owner(self, upstream: UpstreamTargets) -> None:
         if self._owners is not None:
             is_owned = self._owners.divides(upstream.name)
-            upstream.owned_from = self._owners.divided_since if is_owned else None
+            upstream.owned_from = self._owners.split_since if is_owned else None
             upstream.is_owned_here = self._owners.owned_from(upstream.name) is not None
 
     def _take_cold_terms(self, upstream: UpstreamTargets, target: Target) -> None:
@@ -149,7 +152,7 @@
         limits = [one.max_connections for one in self._upstreams.values()]
         return usable(min(limits, default=DEFAULT_MAX_CONNECTIONS))
 
-    def shares(self) -> dict[str, int]:
+    def connection_shares(self) -> dict[str, int]:
         """Return the connections that this host may hold, by server id."""
         return {
             server_id: self.connection_share(upstream)
@@ -173,9 +176,9 @@
 
     def _take_evacuated(self, target: Target, now: Millis) -> None:
         if target.zone in self._evacuated:
-            target.leaving.add(EVACUATED)
+            target.leaving.add(EVACUATED_SOURCE)
             return
-        target.leaving.discard(EVACUATED)
+        target.leaving.discard(EVACUATED_SOURCE)
         # Without requests its servers may have become cold, which the list tells a moment later.
         target.may_be_cold(now)
 
@@ -204,20 +207,22 @@
             target.take_warm_up(record.warm_up, now)
         listed = {record.server_id for record in records}
         for server_id in [server_id for server_id in known if server_id not in listed]:
-            known.pop(server_id).leaving.add(LISTED)
-            self._changes.append(BeliefChange(server_id, upstream.name, "gone", LISTED))
+            known.pop(server_id).leaving.add(LIST_SOURCE)
+            self._changes.append(ServerStateChange(server_id, upstream.name, "gone", LIST_SOURCE))
 
     def _take_draining(self, target: Target, draining: bool) -> None:
-        if draining == (LISTED in target.leaving):
+        if draining == (LIST_SOURCE in target.leaving):
             return
         if draining:
-            target.leaving.add(LISTED)
+            target.leaving.add(LIST_SOURCE)
         else:
-            target.leaving.discard(LISTED)
+            target.leaving.discard(LIST_SOURCE)
         belief = "leaving" if draining else "staying"
-        self._changes.append(BeliefChange(target.server_id, target.upstream, belief, LISTED))
+        self._changes.append(
+            ServerStateChange(target.server_id, target.upstream, belief, LIST_SOURCE)
+        )
 
-    def take_changes(self) -> list[BeliefChange]:
+    def take_changes(self) -> list[ServerStateChange]:
         """Return what changed since this was last asked."""
         changes = list(self._changes)
         self._changes.clear()
@@ -236,12 +241,14 @@
         self._take_cold_terms(upstream, target)
         target.set_share(self.connection_share(upstream))
         if record.zone in self._evacuated:
-            target.leaving.add(EVACUATED)
+            target.leaving.add(EVACUATED_SOURCE)
         upstream.targets[record.server_id] = target
-        self._changes.append(BeliefChange(record.server_id, upstream.name, "listed", LISTED))
+        self._changes.append(
+            ServerStateChange(record.server_id, upstream.name, "listed", LIST_SOURCE)
+        )
         return target
 
-    def states(self, now: Millis) -> dict[str, int]:
+    def count_states(self, now: Millis) -> dict[str, int]:
         """Return how many listed servers are usable, doubtful and barred."""
         counts = {"usable": 0, "doubtful": 0, "barred": 0}
         for upstream in self._upstreams.values():
@@ -254,7 +261,7 @@
 
     # Which one is asked
 
-    def usable(self, name: str, now: Millis) -> int:
+    def count_usable(self, name: str, now: Millis) -> int:
         """Return how many servers of an upstream could be asked now."""
         return sum(1 for one in self.upstream(name).targets.values() if not one.barred(now))
 
@@ -376,12 +383,12 @@
             self._route_latencies[route] = known
         return known
 
-    def keep_routes(self, names: Container[str]) -> None:
+    def retain_routes(self, names: Container[str]) -> None:
         """Forget what was seen of routes that are no more."""
         for name in [name for name in self._route_latencies if name not in names]:
             del self._route_latencies[name]
 
-    def sent(self, target: Target, attempt: int, now: Millis) -> None:
+    def record_sent(self, target: Target, attempt: int, now: Millis) -> None:
         """Count a request as out at a server."""
         self._sends += 1
         target.in_flight += 1
@@ -394,21 +401,23 @@
         self._sends = 0
         return sends
 
-    def ended(self, target: Target, attempt: int) -> Millis | None:
+    def record_end(self, target: Target, attempt: int) -> Millis | None:
         """Count a request as no longer out; return when it was sent, None if it was not out."""
         sent_at = target.outstanding.pop(attempt, None)
         if sent_at is not None:
             target.in_flight -= 1
         return sent_at
 
-    def answered(self, target: Target, span: Millis, load: LoadReport | None, now: Millis) -> None:
+    def record_answer(
+        self, target: Target, span: Millis, load: LoadReport | None, now: Millis
+    ) -> None:
         """Take note of an answer and how long it took."""
         target.answered_at = now
         target.count_outcome(False, now)
         target.saw_answer(span, load, now)
         target.typical.record(span)
 
-    def abandoned(self, target: Target, sent_at: Millis, now: Millis) -> None:
+    def record_abandoned(self, target: Target, sent_at: Millis, now: Millis) -> None:
         """Take note of a request that was given up before its answer came.
 
         A server that has gone dark resets nothing: each request to it just waits, a second one is
@@ -423,7 +432,7 @@
             target.failures = max(target.failures, self.policy.eject_failures - 1)
             self._eject_after_failures(target, AttemptFault.SILENT, now)
 
-    def failed(
+    def record_failure(
         self, target: Target, fault: AttemptFault, retry_after: Millis | None, now: Millis
     ) -> None:
         """Take note of a request that came to nothing."""
@@ -450,4 +459,4 @@
         if fault in (AttemptFault.NOT_SENT, AttemptFault.SILENT):
             target.may_come_back_cold(now)
         why = f"{fault}, {target.failures} in a row"
-        self._changes.append(BeliefChange(target.server_id, target.upstream, "ejected", why))
+        self._changes.append(ServerStateChange(target.server_id, target.upstream, "ejected", why))
--- a/src/alderhatch/core/forwarding/upstream_targets.py
+++ b/src/alderhatch/core/forwarding/upstream_targets.py
@@ -4,7 +4,7 @@
 
 from ...clock import Millis
 from ..latency_histogram import LatencyHistogram
-from .extra_budget import BudgetTerms, ExtraBudget
+from .retry_budget import BudgetLimits, RetryBudget
 from .target import Target
 
 DEFAULT_MAX_CONNECTIONS = 16
@@ -16,7 +16,7 @@
 class UpstreamTargets:
     """The servers of one upstream and its budget for extra requests."""
 
-    def __init__(self, name: str, terms: BudgetTerms, first_latency: Millis) -> None:
+    def __init__(self, name: str, terms: BudgetLimits, first_latency: Millis) -> None:
         self.name = name
         self.max_connections = DEFAULT_MAX_CONNECTIONS
         self.cold_span: Millis = 0.0
@@ -30,7 +30,7 @@
         """Whether this is that host."""
         self.targets: dict[str, Target] = {}
         self.latencies = LatencyHistogram(first_latency)
-        self.budget = ExtraBudget(terms.window)
+        self.budget = RetryBudget(terms.window)
 
     @property
     def usable_connections(self) -> int:
--- a/src/alderhatch/core/forwarding/split.py
+++ b/src/alderhatch/core/forwarding/weighted_round_robin.py
@@ -5,7 +5,7 @@
 from .route import SplitUpstreams
 
 
-class SplitCounter:
+class WeightedRoundRobin:
     """Gives each request to the part that is furthest behind its weight.
 
     Drawn by chance, small numbers of requests stray from the weights: with 100 requests a part of
--- a/src/alderhatch/node/caller_side.py
+++ b/src/alderhatch/node/caller_side.py
@@ -8,13 +8,13 @@
 import trio
 
 from ..clock import SECOND, LoopClock, Millis
-from ..core.forwarding.crash_tally import QUARANTINE
+from ..core.forwarding.crash_counter import QUARANTINE_DURATION
 from ..core.forwarding.forward_run import ForwardRun
 from ..core.forwarding.outcome import Outcome
-from ..core.forwarding.own_time import OwnTime
+from ..core.forwarding.response_lead_time import ResponseLeadTime
 from ..core.forwarding.route import AllShards, OneUpstream, Route, SplitUpstreams
-from ..core.forwarding.run_terms import RunTimes
-from ..core.forwarding.split import SplitCounter
+from ..core.forwarding.run_limits import RunTimes
+from ..core.forwarding.weighted_round_robin import WeightedRoundRobin
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..http.messages import HttpRequest, HttpResponse
 from .dialect import CallerRequest, Dialect
@@ -75,9 +75,9 @@
         self._hand_over_client = hand_over_client
         self._gathers = gathers
         self._clock = LoopClock()
-        self._splits: dict[str, SplitCounter] = {}
+        self._splits: dict[str, WeightedRoundRobin] = {}
         self._longest: dict[str, Millis] = {}
-        self._own_times: dict[str, OwnTime] = {}
+        self._own_times: dict[str, ResponseLeadTime] = {}
         self._waiting = 0
         self._began = 0.0
         """When the node began to take requests."""
@@ -159,24 +159,24 @@
         run = ForwardRun(route, self._upstreams(route), times, self._state.table)
         with self._logged_if_cancelled(req, run):
             outcome = await self._runner.forward(req, run)
-        return self._end(req, run, outcome, run.left_parts_out)
+        return self._end(req, run, outcome, run.omitted_late_parts)
 
     async def _gather(self, gather: SplitGather, req: CallerRequest) -> HttpResponse:
         with self._logged_if_cancelled(req, gather.own):
             outcome = await gather.run()
         for run in gather.again:
             self._metrics.count_steps(run)
-        return self._end(req, gather.own, outcome, gather.split.left_parts_out)
+        return self._end(req, gather.own, outcome, gather.split.omitted_late_parts)
 
     def _end(
-        self, req: CallerRequest, run: ForwardRun, outcome: Outcome, left_parts_out: bool
+        self, req: CallerRequest, run: ForwardRun, outcome: Outcome, omitted_late_parts: bool
     ) -> HttpResponse:
         end = end_of(outcome, self._clock.now() - run.times.arrived)
         self._metrics.count(run, end)
         self._log.ended(req, run, end)
         res = self._dialect.response(run.route, outcome)
-        if left_parts_out:
-            self._own_time(run.route).saw(self._clock.now() - run.due)
+        if omitted_late_parts:
+            self._own_time(run.route).record_overrun(self._clock.now() - run.due)
         return res
 
     @contextmanager
@@ -187,8 +187,8 @@
             self._log.cancelled(req, run, self._clock.now() - run.times.arrived)
             raise
 
-    def _own_time(self, route: Route) -> OwnTime:
-        return self._own_times.setdefault(route.name, OwnTime())
+    def _own_time(self, route: Route) -> ResponseLeadTime:
+        return self._own_times.setdefault(route.name, ResponseLeadTime())
 
     def _route_of(self, req: CallerRequest) -> Route:
         # The version that another host served a caller of this one by may not have come yet.
@@ -204,7 +204,9 @@
     def _check_quarantine(self, req: CallerRequest) -> None:
         if self._state.is_quarantined(req.fingerprint):
             message = "this request crashed servers that ran it"
-            raise AlderhatchError(Failure(ErrorKind.QUARANTINED, message, None, QUARANTINE))
+            raise AlderhatchError(
+                Failure(ErrorKind.QUARANTINED, message, None, QUARANTINE_DURATION)
+            )
 
     async def _wait_for_start(self, req: CallerRequest, arrived: Millis) -> None:
         """Keep a request that comes while the node learns its configuration and the servers.
@@ -230,7 +232,7 @@
             case OneUpstream(upstream):
                 return (upstream,)
             case SplitUpstreams():
-                counter = self._splits.setdefault(route.name, SplitCounter())
+                counter = self._splits.setdefault(route.name, WeightedRoundRobin())
                 return (counter.pick(route.destination),)
             case AllShards(shards):
                 return shards
@@ -242,7 +244,7 @@
         longest = max(left, self._longest.get(route.name, 0.0))
         self._longest[route.name] = longest
         trips = LATER_ROUND_TRIPS if req.http.on_used_connection else FIRST_ROUND_TRIPS
-        away = trips * req.http.round_trip + self._own_time(route).span
+        away = trips * req.http.round_trip + self._own_time(route).lead_time
         target = route.target_latency - (longest - left) - away
         return RunTimes(now, now + target, now + min(left, route.timeout))
 
--- a/src/alderhatch/node/forward_runner.py
+++ b/src/alderhatch/node/forward_runner.py
@@ -11,7 +11,7 @@
 from ..core.forwarding.effects import Cancel, Effect, Finish, Send
 from ..core.forwarding.forward_run import ForwardRun
 from ..core.forwarding.outcome import Outcome
-from ..core.forwarding.target_table import EVACUATED
+from ..core.forwarding.target_table import EVACUATED_SOURCE
 from ..entry.attempt_faults import FAULTS
 from ..entry.connection_pool import ConnectionPool
 from ..http.connection import HttpConnection
@@ -91,16 +91,16 @@
             except HttpExchangeError as exc:
                 reading = Reading(FAULTS[exc.fault])
         now = self._clock.now()
-        sent_at = self._table.ended(send.target, send.attempt)
+        sent_at = self._table.record_end(send.target, send.attempt)
         if scope.cancelled_caught:
             if sent_at is not None:
-                self._table.abandoned(send.target, sent_at, now)
+                self._table.record_abandoned(send.target, sent_at, now)
             return
         self._state.saw_attempt(flight.fingerprint, send.target, reading.fault, now)
         if reading.fault is not None:
-            self._table.failed(send.target, reading.fault, reading.retry_after, now)
+            self._table.record_failure(send.target, reading.fault, reading.retry_after, now)
         elif sent_at is not None:
-            self._table.answered(send.target, now - sent_at, reading.load, now)
+            self._table.record_answer(send.target, now - sent_at, reading.load, now)
         flight.ended(send.attempt, reading, reply, now)
 
     async def _exchange(self, flight: _Flight, send: Send) -> tuple[HttpReply, Reading]:
@@ -109,7 +109,7 @@
         if conn is None:
             conn = await self._pool.take(server_id)
         try:
-            if EVACUATED in send.target.leaving:
+            if EVACUATED_SOURCE in send.target.leaving:
                 # The order may have come while this waited for its connection.
                 raise HttpExchangeError("its zone is evacuated", ExchangeFault.NOT_SENT)
             return await self._exchange_on(conn, flight, server_id)
@@ -164,7 +164,7 @@
             with trio.move_on_at(self._wakes_at / SECOND):
                 await self._changed.wait()
             if self._outcome is None and self._clock.now() >= self.run.next_wake:
-                self._carry_out(self.run.on_time(self._clock.now()))
+                self._carry_out(self.run.on_timer(self._clock.now()))
         return self._outcome
 
     def abandon(self) -> None:
@@ -175,7 +175,7 @@
 
     def let_go(self) -> None:
         """Ask nobody else; what is out may end within its grace."""
-        self._carry_out(self.run.let_go())
+        self._carry_out(self.run.stop())
 
     def ended(self, attempt: int, reading: Reading, reply: HttpReply | None, now: Millis) -> None:
         """Take what became of an attempt."""
--- a/src/alderhatch/node/gather_server.py
+++ b/src/alderhatch/node/gather_server.py
@@ -8,8 +8,8 @@
 from ..core.forwarding.forward_run import ForwardRun
 from ..core.forwarding.parts_bundle import PartsBundle
 from ..core.forwarding.route import AllShards
-from ..core.forwarding.run_terms import PartRules, RunTimes
-from ..core.forwarding.split_run import FIRST_WORD, HOP
+from ..core.forwarding.run_limits import RunTimes, ShareRules
+from ..core.forwarding.split_run import FIRST_REPORT_FRACTION, HOP_LATENCY
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..http.messages import HttpRequest
 from .dialect import Dialect
@@ -85,7 +85,7 @@
             raise AlderhatchError(Failure(ErrorKind.NO_CONFIGURATION, message, "target"))
         check_parts_request(asked, route.destination.shards)
         servers = agreed_servers(self._state, route, asked.shards, self._state.zone)
-        rules = PartRules(servers, False, arrived + asked.due_in - HOP)
+        rules = ShareRules(servers, False, arrived + asked.due_in - HOP_LATENCY)
         deadline = arrived + min(asked.time_left, route.timeout)
         # Which parts are left out is for the first host to decide, which sees all of them.
         times = RunTimes(arrived, deadline, deadline)
@@ -93,7 +93,7 @@
 
     def _words(self, asked: PartsRequest, arrived: Millis) -> tuple[Millis, ...]:
         due = max(0.0, asked.due_in)
-        return (arrived + FIRST_WORD * due, arrived + max(0.0, due - HOP))
+        return (arrived + FIRST_REPORT_FRACTION * due, arrived + max(0.0, due - HOP_LATENCY))
 
     def _end(self, run: ForwardRun, arrived: Millis) -> RequestEnd:
         parts_in = sum(shard.part is not None for shard in run.shards.values())
--- a/src/alderhatch/node/hand_over_client.py
+++ b/src/alderhatch/node/hand_over_client.py
@@ -11,7 +11,7 @@
 from ..clock import SECOND, LoopClock, Millis
 from ..codec import Codec
 from ..core.forwarding.caller_hosts import HostRecord
-from ..core.forwarding.hand_over import AVOID_FOR, HandOverRun, HandOverTargets
+from ..core.forwarding.hand_over import AVOID_DURATION, HandOverRun, HandOverTargets
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..http.messages import HttpRequest, HttpResponse
 from ..loop_tasks import LoopTasks
@@ -88,7 +88,7 @@
         """Return whether a host is not passed over just now."""
         return not self._targets.is_avoided(name, now)
 
-    def avoid(self, name: str, now: Millis, span: Millis = AVOID_FOR) -> None:
+    def avoid(self, name: str, now: Millis, span: Millis = AVOID_DURATION) -> None:
         """Pass a host over for a while."""
         self._targets.avoid(name, now, span)
 
--- a/src/alderhatch/node/node_metrics.py
+++ b/src/alderhatch/node/node_metrics.py
@@ -75,7 +75,7 @@
         state = node.state
         now = self._clock.now()
         metrics = self._metrics
-        for name, count in state.table.states(now).items():
+        for name, count in state.table.count_states(now).items():
             metrics.set(Metric.NODE_SERVERS, count, name)
         metrics.set(Metric.NODE_RUNNING, node.running)
         metrics.set(Metric.NODE_HOSTS, state.hosts_alive)
--- a/src/alderhatch/node/node_settings.py
+++ b/src/alderhatch/node/node_settings.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from ..clock import Millis
-from ..core.forwarding.cold_allowance import ColdTerms
-from ..core.forwarding.extra_budget import BudgetTerms
+from ..core.forwarding.cold_start_limiter import ColdServerLimits
+from ..core.forwarding.retry_budget import BudgetLimits
 from ..core.policy import Policy
 from .tier_messages import Place
 
@@ -43,13 +43,13 @@
     """How many hosts with a disk may be lost at once."""
     catch_up: Millis
     """How long a host that is new or back has to catch up before another one may be lost."""
-    budget: BudgetTerms
+    budget: BudgetLimits
     stop_span: Millis
     """How long the node may take to stop."""
     secret: bytes
     zones: frozenset[str] = frozenset()
     """All availability zones of the tier."""
-    cold: ColdTerms | None = None
+    cold: ColdServerLimits | None = None
     """What all hosts together may send to a server that is cold; None for no limit."""
     processor: float = 1.0
     """Seconds of processor time that this host gets in a second."""
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -13,10 +13,10 @@
 from ..core.crash_watch import CrashWatch
 from ..core.entry_events import AttemptFault
 from ..core.forwarding.caller_hosts import HostRecord, choose_caller_hosts
-from ..core.forwarding.cold_allowance import ColdTerms
-from ..core.forwarding.crash_tally import FORGET_AFTER, QUARANTINE
-from ..core.forwarding.extra_budget import BudgetTerms, constant_part, owned_part
-from ..core.forwarding.host_reach import HostReach
+from ..core.forwarding.cold_start_limiter import ColdServerLimits
+from ..core.forwarding.crash_counter import CRASH_RETENTION, QUARANTINE_DURATION
+from ..core.forwarding.host_reachability import HostReachability
+from ..core.forwarding.retry_budget import BudgetLimits, constant_fraction, owner_constant_fraction
 from ..core.forwarding.route import AllShards, CallerLimits, TierConfiguration
 from ..core.forwarding.route_table import RouteTable
 from ..core.forwarding.server_record import ServerRecord
@@ -61,11 +61,11 @@
         zone: str,
         decode: Decoder,
         pool: ConnectionPool,
-        terms: BudgetTerms,
+        terms: BudgetLimits,
         policy: Policy,
         clock: Clock,
         rng: Random,
-        cold: ColdTerms | None = None,
+        cold: ColdServerLimits | None = None,
     ) -> None:
         self.name = name
         self.zone = zone
@@ -73,7 +73,7 @@
         self._pool = pool
         self._clock = clock
         self.table = TargetTable(zone, terms, policy, rng, cold)
-        self.crash_watch = CrashWatch(QUARANTINE)
+        self.crash_watch = CrashWatch(QUARANTINE_DURATION)
         """What this host saw of requests that crash servers."""
         self._quarantined_until: dict[str, Millis] = {}
         """When the requests that the leader refuses everywhere may run again."""
@@ -102,7 +102,7 @@
         """Those of them that callers are sent to."""
         self.processor_needed = 0.0
         """How much processor time those should have together, in seconds a second."""
-        self._reach = HostReach()
+        self._reach = HostReachability()
         """What this host found out by itself since the leader's last word."""
         self.owners = ShardOwners(name, policy.split_parts)
         """Which of those hosts owns a shard."""
@@ -133,9 +133,9 @@
         self.table.set_upstreams(cfg.upstreams)
         self._wanted = frozenset(name for route in cfg.routes for name in route.upstreams)
         gathers = (one.upstreams for one in cfg.routes if isinstance(one.destination, AllShards))
-        if self.owners.take_gathers(gathers, self._clock.now()):
+        if self.owners.set_gathers(gathers, self._clock.now()):
             self.table.set_owners(self.owners)
-        self.table.keep_routes({route.name for route in cfg.routes})
+        self.table.retain_routes({route.name for route in cfg.routes})
         self._choose_caller_hosts()
         self._connect()
         self.configured.notify()
@@ -144,7 +144,7 @@
     @property
     def gathers_many(self) -> bool:
         """Whether any route gathers so many parts that several hosts ask for them."""
-        return self.owners.divided_since is not None
+        return self.owners.split_since is not None
 
     @property
     def seen_version(self) -> int:
@@ -268,7 +268,7 @@
 
         Each is refused for as long as callers are told, also if no leader says that it is over.
         """
-        until = self._clock.now() + QUARANTINE
+        until = self._clock.now() + QUARANTINE_DURATION
         known = self._quarantined_until
         self._quarantined_until = {one: known.get(one, until) for one in fingerprints}
 
@@ -277,7 +277,7 @@
         crashes = self.crashes[:MAX_CRASHES]
         self.crashes = []
         now = self._clock.now()
-        told = [one for one in self._told_crashes if now - one[0] < FORGET_AFTER]
+        told = [one for one in self._told_crashes if now - one[0] < CRASH_RETENTION]
         self._told_crashes = [*told, *((now, crash) for crash in crashes)]
         return crashes
 
@@ -288,7 +288,7 @@
         two more with each change of the leader.
         """
         now = self._clock.now()
-        recent = [crash for at, crash in self._told_crashes if now - at < FORGET_AFTER]
+        recent = [crash for at, crash in self._told_crashes if now - at < CRASH_RETENTION]
         self._told_crashes = []
         self.crashes = [*recent, *self.crashes]
 
@@ -301,7 +301,7 @@
         most = max(self.hosts_alive, alive)
         self.hosts_alive = alive
         self.view = view
-        self._reach = HostReach()
+        self._reach = HostReachability()
         self.hosts = view.hosts
         self.controls = view.controls
         self.processor_needed = view.processor_needed
@@ -319,13 +319,13 @@
 
     def hosts_to_try(self) -> list[HostRecord]:
         """Return the other hosts of which it should be known whether they can be reached."""
-        named = self.choose(self._reach.left(self.hosts), self.processor_needed)
+        named = self.choose(self._reach.reachable(self.hosts), self.processor_needed)
         lost = [host for host in self.hosts if host.name in self._reach.unreachable]
         return [host for host in (*named, *lost) if host.name != self.name]
 
     def saw_hosts(self, reached: Mapping[str, bool]) -> None:
         """Take which of those hosts were reached, by name."""
-        self._reach.saw(reached)
+        self._reach.record_probes(reached)
         self._choose_caller_hosts()
         self._share()
 
@@ -341,8 +341,8 @@
     def _choose_caller_hosts(self) -> None:
         now = self._clock.now()
         before = self.caller_hosts
-        self.caller_hosts = self.choose(self._reach.named(self.hosts), self.processor_needed)
-        if self.owners.take_hosts(self.caller_hosts, now):
+        self.caller_hosts = self.choose(self._reach.eligible(self.hosts), self.processor_needed)
+        if self.owners.set_hosts(self.caller_hosts, now):
             self.table.set_owners(self.owners)
         for host in (*before, *self.caller_hosts):
             self._named[host.name] = now
@@ -360,8 +360,11 @@
         most = max((count for _, count in self._host_counts), default=1)
         is_named = self.name in self._named
         # A host that stands by makes do with one connection to a server, opened when it is needed.
-        part = constant_part(most, len(self._named), is_named)
-        owned = {one: owned_part(most, len(self._named), is_named, one) for one in (False, True)}
-        self.table.set_part(part, len(self._named) if is_named else most, owned)
+        part = constant_fraction(most, len(self._named), is_named)
+        owned = {
+            one: owner_constant_fraction(most, len(self._named), is_named, one)
+            for one in (False, True)
+        }
+        self.table.set_host_share(part, len(self._named) if is_named else most, owned)
         self._pool.keeps_warm = self._keeps_warm if is_named else lambda upstream: False
-        self._pool.set_shares(self.table.shares())
+        self._pool.set_shares(self.table.connection_shares())
--- a/src/alderhatch/node/parts_collector.py
+++ b/src/alderhatch/node/parts_collector.py
@@ -64,7 +64,7 @@
         for at in word_at:
             await trio.sleep(max(0.0, at - self._clock.now()) / SECOND)
             self._hand_on(run, take, handed, True)
-            run.may_leave_agreed = True
+            run.may_use_other_servers = True
         while True:
             await trio.sleep(LATE_PARTS_EVERY / SECOND)
             self._hand_on(run, take, handed, False)
--- a/src/alderhatch/node/request_log.py
+++ b/src/alderhatch/node/request_log.py
@@ -164,4 +164,4 @@
     shown = [one for one in run.trace if one.shard in lacking][:MAX_STEPS]
     if not shown:
         shown = run.trace[-MAX_STEPS:]
-    return [one.plain() for one in shown]
+    return [one.log_fields() for one in shown]
--- a/src/alderhatch/node/split_gather.py
+++ b/src/alderhatch/node/split_gather.py
@@ -9,18 +9,18 @@
 from ..clock import SECOND, LoopClock, Millis
 from ..core.forwarding.forward_run import ForwardRun
 from ..core.forwarding.gather_plan import GatherPlan, HostShare, plan_gather
-from ..core.forwarding.hand_over import AVOID_FOR, AVOID_SILENT_FOR
+from ..core.forwarding.hand_over import AVOID_DURATION, AVOID_SILENT_DURATION
 from ..core.forwarding.outcome import Outcome
 from ..core.forwarding.parts_bundle import PartsBundle
 from ..core.forwarding.route import AllShards, Route
-from ..core.forwarding.run_terms import PartRules, RunTimes, least_parts
+from ..core.forwarding.run_limits import RunTimes, ShareRules, min_parts
 from ..core.forwarding.split_run import (
-    AskHere,
-    AskHost,
-    Drop,
+    CancelShare,
     Effect,
     Finish,
-    Silent,
+    HostSilent,
+    QueryHost,
+    QueryLocally,
     SplitRun,
 )
 from ..errors import AlderhatchError, Ran
@@ -74,8 +74,8 @@
         If not, this host refuses the request by itself, and its caller hears that nothing ran.
         """
         table = self.state.table
-        servable = sum(1 for name in destination.shards if table.usable(name, now))
-        return servable >= least_parts(len(destination.shards), destination.min_coverage)
+        servable = sum(1 for name in destination.shards if table.count_usable(name, now))
+        return servable >= min_parts(len(destination.shards), destination.min_coverage)
 
 
 class SplitGather:
@@ -98,7 +98,7 @@
         self._times = times
         self._plan = plan
         self.split = SplitRun(
-            plan, least_parts(len(route.upstreams), destination.min_coverage), times
+            plan, min_parts(len(route.upstreams), destination.min_coverage), times
         )
         self.own = self._share(plan.own, False)
         """The run of this host's own share."""
@@ -120,20 +120,22 @@
                     await self._changed.wait()
                 now = self._clock.now()
                 if self._outcome is None and now >= self.split.next_wake:
-                    self._carry_out(self.split.on_time(now), nursery)
+                    self._carry_out(self.split.on_timer(now), nursery)
             nursery.cancel_scope.cancel()
         return self._outcome
 
     def _carry_out(self, effects: list[Effect], nursery: trio.Nursery) -> None:
         for effect in effects:
             match effect:
-                case AskHost(number, share):
+                case QueryHost(number, share):
                     nursery.start_soon(self._ask_host, number, share, nursery)
-                case AskHere(number, shards, is_repeat):
+                case QueryLocally(number, shards, is_repeat):
                     nursery.start_soon(self._ask_here, number, shards, is_repeat, nursery)
-                case Silent(number):
-                    self._pass_over(number, "it has said nothing for too long", AVOID_SILENT_FOR)
-                case Drop(number):
+                case HostSilent(number):
+                    self._pass_over(
+                        number, "it has said nothing for too long", AVOID_SILENT_DURATION
+                    )
+                case CancelShare(number):
                     if number in self._scopes:
                         self._scopes[number].cancel()
                 case Finish(outcome):
@@ -150,7 +152,7 @@
         for share in self._plan.others if is_repeat else ():
             again = set(shards).intersection(share.shards)
             servers |= agreed_servers(self._state, self._route, again, share.host.zone)
-        rules = PartRules(servers, is_repeat, self._times.answer_by)
+        rules = ShareRules(servers, is_repeat, self._times.answer_by)
         return ForwardRun(self._route, shards, times, self._state.table, rules)
 
     async def _ask_here(
@@ -196,7 +198,7 @@
             self._carry_out(self.split.on_end(number, self._clock.now()), nursery)
 
     def _lost(self, number: int, why: str, may_have_run: bool, nursery: trio.Nursery) -> None:
-        self._pass_over(number, why, AVOID_FOR)
+        self._pass_over(number, why, AVOID_DURATION)
         now = self._clock.now()
         self._carry_out(self.split.on_lost(number, may_have_run, now), nursery)
 
--- a/src/alderhatch/node/tier_messages.py
+++ b/src/alderhatch/node/tier_messages.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from ..core.control.evacuations import NO_EVACUATIONS, Evacuations
-from ..core.forwarding.caller_hosts import MIN_TOLD, HostRecord
+from ..core.forwarding.caller_hosts import MIN_ADVERTISED_HOSTS, HostRecord
 from ..core.forwarding.server_record import ServerRecord
 
 
@@ -100,7 +100,7 @@
 
     def needs(self, name: str) -> bool:
         """Return whether a host is one of those that ask servers: it is named, or all are."""
-        is_small = self.alive <= max(MIN_TOLD, len(self.hosts))
+        is_small = self.alive <= max(MIN_ADVERTISED_HOSTS, len(self.hosts))
         return is_small or any(host.name == name for host in self.hosts)
 
 
--- a/src/alderhatch/node/tier_server.py
+++ b/src/alderhatch/node/tier_server.py
@@ -10,13 +10,13 @@
 from ..codec import Codec
 from ..core.control.configuration_register import TierOrders
 from ..core.forwarding.caller_hosts import (
-    MIN_TOLD,
+    MIN_ADVERTISED_HOSTS,
     HostRecord,
-    hosts_to_tell,
+    advertised_host_count,
+    advertised_hosts,
     rank_hosts,
-    told_count,
 )
-from ..core.forwarding.crash_tally import CrashTally
+from ..core.forwarding.crash_counter import CrashCounter
 from ..core.forwarding.host_demand import HostDemand
 from ..core.forwarding.server_record import ServerRecord
 from ..link import Link, LinkClosedError
@@ -125,7 +125,7 @@
         self._view_due = trio.Event()
         """Set when who is there has changed; replaced when it is told."""
         self._news = TierNews(codec.encode)
-        self._crashes = CrashTally()
+        self._crashes = CrashCounter()
         self._demand = HostDemand()
         self.news = Signal()
         """Notified when there is something to tell the hosts."""
@@ -183,7 +183,7 @@
         async with trio.open_nursery() as nursery:
             session = _Session(join, link, nursery.cancel_scope, self._clock.now())
             self._sessions[name] = session
-            if len(self._sessions) <= MIN_TOLD:
+            if len(self._sessions) <= MIN_ADVERTISED_HOSTS:
                 session.duty = Duty.AT_FIRST
             log_event(LogEvent.HOST_JOINED, host=name, zone=join.zone)
             self._view_due.set()
@@ -297,7 +297,7 @@
 
         Who once serves goes on with it: its connections are open, and it may be needed again.
         """
-        is_small = len(self._sessions) <= MIN_TOLD
+        is_small = len(self._sessions) <= MIN_ADVERTISED_HOSTS
         is_new = False
         for name, session in self._sessions.items():
             before = session.duty
@@ -309,7 +309,7 @@
 
     def _all_are_back(self) -> bool:
         """Return whether as many hosts follow this leader as followed the last one."""
-        return told_count(len(self._sessions)) >= self._alive_before()
+        return advertised_host_count(len(self._sessions)) >= self._alive_before()
 
     def view(self) -> TierView:
         """Return who is there now, as far as each host has to know."""
@@ -320,11 +320,12 @@
         # one that starts with it.
         chosen = len(self._choose(serving, needed))
         named = {
-            host.name for host in (*hosts_to_tell(hosts, chosen), *hosts_to_tell(serving, chosen))
+            host.name
+            for host in (*advertised_hosts(hosts, chosen), *advertised_hosts(serving, chosen))
         }
         told = [host for host in rank_hosts(hosts) if host.name in named]
         controls = self._member.controls() if self._member is not None else []
-        return TierView(told, controls, needed, told_count(len(hosts)))
+        return TierView(told, controls, needed, advertised_host_count(len(hosts)))
 
 
 def _duty(before: Duty, is_needed: bool, is_settled: bool) -> Duty:
--- a/src/alderhatch/platform/settings.py
+++ b/src/alderhatch/platform/settings.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from ..clock import SECOND
-from ..core.forwarding.cold_allowance import ColdTerms
-from ..core.forwarding.extra_budget import BudgetTerms
+from ..core.forwarding.cold_start_limiter import ColdServerLimits
+from ..core.forwarding.retry_budget import BudgetLimits
 from ..core.policy import Policy
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..node.node_settings import NodePorts, NodeSettings
@@ -79,7 +79,7 @@
         first_start=values.get("bootstrap") == "true",
         tolerated_hosts=values.whole("fault-tolerance.machines", 0, "1"),
         catch_up=values.number("bounds.sync-s", 4.0) * SECOND,
-        budget=BudgetTerms(
+        budget=BudgetLimits(
             values.number("bounds.retry-budget-ratio", 0.2),
             values.number("bounds.retry-budget-extra", 10.0),
             values.number("bounds.budget-window-s", 10.0) * SECOND,
@@ -95,11 +95,11 @@
     return PlatformSettings(node, address, port)
 
 
-def _cold_terms(values: _Values) -> ColdTerms | None:
+def _cold_terms(values: _Values) -> ColdServerLimits | None:
     if not values.get("bounds.warmup-margin"):
         return None
     tolerance = values.number("bounds.warmup-tolerance", 1.0)
-    return ColdTerms(tolerance, values.number("bounds.warmup-margin", 0.0))
+    return ColdServerLimits(tolerance, values.number("bounds.warmup-margin", 0.0))
 
 
 def seeds_of(text: str, links: int) -> tuple[Place, ...]:
