--- a/src/alderhatch/core/forwarding/shard_owners.py
+++ b/src/alderhatch/core/forwarding/shard_owners.py
@@ -103,7 +103,7 @@
         """Return whether a gather of so many parts is asked for by several hosts."""
         return 0 < self._split_parts <= parts and len(self.hosts) >= MIN_SPLIT_HOSTS
 
-    def divides(self, shard: str) -> bool:
+    def is_split(self, shard: str) -> bool:
         """Return whether a shard is of a gather that hosts ask for together."""
         return self.split_since is not None and shard in self._owners
 
--- a/src/alderhatch/core/forwarding/target_table.py
+++ b/src/alderhatch/core/forwarding/target_table.py
@@ -133,7 +133,7 @@
 
     def _take_owner(self, upstream: UpstreamTargets) -> None:
         if self._owners is not None:
-            is_owned = self._owners.divides(upstream.name)
+            is_owned = self._owners.is_split(upstream.name)
             upstream.owned_from = self._owners.split_since if is_owned else None
             upstream.is_owned_here = self._owners.owned_from(upstream.name) is not None
 
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -354,7 +354,7 @@
         What another host owns is asked for here only if that host is lost.
         """
         owners = self.owners
-        return not owners.divides(upstream) or owners.owner(upstream) == self.name
+        return not owners.is_split(upstream) or owners.owner(upstream) == self.name
 
     def _share(self) -> None:
         most = max((count for _, count in self._host_counts), default=1)
