--- a/src/alderhatch/core/forwarding/decision.py
+++ b/src/alderhatch/core/forwarding/decision.py
@@ -1,4 +1,4 @@
-"""What was decided about one request, for whoever has to explain it afterwards."""
+"""Decisions made about one request, recorded to explain its outcome."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     """A step of a request's run."""
 
     SEND = "send"
-    """A server was asked."""
+    """A server was sent the request."""
     HEDGE = "hedge"
-    """Another server was asked while the first one was still out."""
+    """A second server was sent the request while the first one had not answered."""
     RETRY = "retry"
-    """A server was asked after an attempt that came to nothing."""
+    """A server was sent the request after a failed attempt."""
     FAULT = "fault"
-    """An attempt came to nothing."""
+    """An attempt failed."""
     NO_SERVER = "no_server"
-    """There was no server to ask at this moment."""
+    """No server was available at this moment."""
     NO_BUDGET = "no_budget"
-    """The budget for extra requests was used up at this moment."""
+    """The retry budget was exhausted at this moment."""
     GIVEN_UP = "given_up"
-    """No further server is asked for this shard."""
+    """No further attempt is made for this shard."""
 
 
 class Decision(NamedTuple):
-    """One step, with what it was based on."""
+    """One step, with the data it was based on."""
 
     at: Millis
     """Since the request's arrival."""
@@ -38,16 +38,16 @@
     why: str = ""
     """The fault, or the reason."""
     load: float = 0.0
-    """The requests that the server was held to have."""
+    """The estimated number of requests at the server."""
     load_age: Millis = -1.0
-    """How old the server's last report of its load was; -1 if there was none."""
+    """The age of the server's last load report; -1 if there was none."""
     candidates: int = 0
-    """How many servers could be asked."""
+    """How many servers were available."""
     budget: float = -1.0
-    """The part of the upstream's budget that was left; -1 if it was not needed."""
+    """The fraction of the upstream's retry budget that was left; -1 if it was not needed."""
 
     def log_fields(self) -> dict[str, object]:
-        """Return the fields that say something, with short figures, for a log line."""
+        """Return the non-empty fields, with rounded numbers, for a log line."""
         shown: dict[str, object] = {"at": round(self.at, 1), "step": self.kind, "shard": self.shard}
         if self.server_id:
             shown["server"] = self.server_id
--- a/src/alderhatch/core/forwarding/effects.py
+++ b/src/alderhatch/core/forwarding/effects.py
@@ -1,4 +1,4 @@
-"""What the run of a forwarded request wants done."""
+"""Effects that the run of a forwarded request asks its driver to carry out."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class Cancel(NamedTuple):
-    """Nothing of this attempt is wanted any more."""
+    """Cancel an attempt whose result is no longer needed."""
 
     attempt: int
 
 
 class Finish(NamedTuple):
-    """The request is over."""
+    """The request is finished."""
 
     outcome: Outcome
 
--- a/src/alderhatch/core/forwarding/hand_over.py
+++ b/src/alderhatch/core/forwarding/hand_over.py
@@ -1,4 +1,4 @@
-"""To which host a host that stands by hands a request, and what a failure of the way means."""
+"""Chooses the host to which a standby host hands over a request, and handles its failures."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 MAX_HOSTS_TRIED = 3
 """How many hosts are tried with one request; each further one costs its caller time."""
 AVOID_DURATION: Millis = 1 * SECOND
-"""How long a host is passed over that could not be reached or turned a request away."""
+"""How long a host is avoided after it could not be reached or refused a request."""
 AVOID_SILENT_DURATION: Millis = 300.0
-"""The same for one that said nothing in time, which may only be busy: its work falls to others."""
+"""How long a host is avoided after it did not respond in time. It may only be busy, and its work
+falls to other hosts."""
 RETRY_AFTER: Millis = 300.0
 
 
 class HandOverTargets:
-    """Remembers which hosts took requests and which did not.
+    """Remembers which hosts accepted requests and which did not.
 
     Args:
         name: This host's name.
-        zone: Its availability zone, whose hosts go first.
+        zone: Its availability zone, whose hosts are preferred.
         rng: Spreads the requests over hosts that are equally near.
     """
 
@@ -34,44 +35,44 @@
         self._avoided_until: dict[str, Millis] = {}
 
     def avoid(self, name: str, now: Millis, span: Millis = AVOID_DURATION) -> None:
-        """Pass a host over for a while."""
+        """Avoid a host for a while."""
         known = {one: until for one, until in self._avoided_until.items() if until > now}
         self._avoided_until = {**known, name: now + span}
 
     def is_avoided(self, name: str, now: Millis) -> bool:
-        """Return whether a host is passed over just now."""
+        """Return whether a host is avoided at this moment."""
         return self._avoided_until.get(name, 0.0) > now
 
     def choose(
         self, hosts: Iterable[HostRecord], tried: Iterable[str], now: Millis
     ) -> HostRecord | None:
-        """Return the host that is asked next, or None if there is none left.
+        """Return the host to try next, or None if there is none left.
 
         Args:
-            hosts: Those that callers are sent to.
+            hosts: The active hosts.
             tried: The names of those that did not answer this request.
             now: The time.
         """
-        passed_over = {self._name, *tried}
-        left = [host for host in hosts if host.name not in passed_over]
-        sound = [host for host in left if self._avoided_until.get(host.name, 0.0) <= now]
-        near = [host for host in sound if host.zone == self._zone]
-        for among in (near, sound, left):
-            if among:
-                return self._rng.choice(among)
+        excluded = {self._name, *tried}
+        untried = [host for host in hosts if host.name not in excluded]
+        healthy = [host for host in untried if self._avoided_until.get(host.name, 0.0) <= now]
+        near = [host for host in healthy if host.zone == self._zone]
+        for candidates in (near, healthy, untried):
+            if candidates:
+                return self._rng.choice(candidates)
         return None
 
 
 class HandOverRun:
-    """One request that is handed over, until another host has answered or nobody can.
+    """One request that is handed over, until another host has answered or none can.
 
-    What reached another host may have run there, so it goes to a further one only if the first one
-    says that it did not.
+    A request that reached another host may have run there, so it goes to a further host only if the
+    first one reports that it did not run.
 
     Args:
-        targets: Which hosts took requests lately.
-        hosts: Returns those that callers are sent to now.
-        deadline: When the caller leaves.
+        targets: Which hosts accepted requests lately.
+        hosts: Returns the hosts that are active now.
+        deadline: When the caller stops waiting.
     """
 
     def __init__(
@@ -81,45 +82,47 @@
         self._hosts = hosts
         self._deadline = deadline
         self._tried: list[str] = []
-        self._last: AlderhatchError | None = None
+        self._last_error: AlderhatchError | None = None
 
     def next_host(self, now: Millis) -> HostRecord:
-        """Return the host that is to be asked.
+        """Return the host to try next.
 
         Raises:
             AlderhatchError: If there is none, or no time is left.
         """
         if now >= self._deadline:
-            raise self._last or _failed(ErrorKind.DEADLINE_TOO_SHORT, "no time is left")
+            raise self._last_error or _failed(
+                ErrorKind.DEADLINE_TOO_SHORT, "the deadline passed before a host answered"
+            )
         host: HostRecord | None = None
         if len(self._tried) < MAX_HOSTS_TRIED:
             host = self._targets.choose(self._hosts(), self._tried, now)
         if host is None:
-            message = "this host stands by and reaches none that serves"
-            raise self._last or _failed(ErrorKind.NOT_SERVING, message, RETRY_AFTER)
+            message = "this host is on standby and reaches no active host"
+            raise self._last_error or _failed(ErrorKind.NOT_SERVING, message, RETRY_AFTER)
         self._tried.append(host.name)
         return host
 
     def refused(self, host: HostRecord, failure: Failure, now: Millis) -> None:
-        """Take a host's word that it did not answer.
+        """Handle a host's refusal.
 
         Raises:
-            AlderhatchError: If no other host would do better.
+            AlderhatchError: If the request should not be sent to another host.
         """
         if ANSWERS[failure.kind].resend is not Resend.OTHER_ENTRY:
             raise AlderhatchError(failure)
         self._targets.avoid(host.name, now)
-        self._last = AlderhatchError(failure)
+        self._last_error = AlderhatchError(failure)
 
     def lost(self, host: HostRecord, was_sent: bool, now: Millis) -> None:
-        """Take note that the way to a host is gone.
+        """Handle the loss of the connection to a host.
 
         Raises:
-            AlderhatchError: If the request was on its way and may have run.
+            AlderhatchError: If the request was already sent and may have run.
         """
         self._targets.avoid(host.name, now)
         if was_sent:
-            message = f"the way to {host.name}, which had the request, was lost"
+            message = f"the connection to host {host.name} was lost after the request was sent"
             raise _failed(ErrorKind.OUTCOME_UNKNOWN, message)
 
 
--- a/src/alderhatch/core/forwarding/hedge_timer.py
+++ b/src/alderhatch/core/forwarding/hedge_timer.py
@@ -1,4 +1,4 @@
-"""When another server is asked for a part that is still out."""
+"""Decides when a second server is queried for a part that has not arrived."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from .target_table import TargetTable
 
 EARLIEST_HEDGE_QUANTILE = 0.75
-"""With the whole budget left, a part that is later than this share of the route's answers is asked
-for again elsewhere."""
+"""With the whole budget left, a part is hedged when it takes longer than this quantile of the
+route's latencies."""
 LATEST_HEDGE_QUANTILE = 0.97
-"""The same with the budget nearly used up. In between the delay follows the budget, so that it
-lasts: the rarer the hedges, the more surely each of them meets a server that stands still."""
-ENOUGH_SAMPLES = 40
-GUESS_FACTOR = 2.0
-"""Before there are enough samples, a part is late after this multiple of the usual latency."""
+"""The same with the budget nearly exhausted. In between the delay follows the budget, so that it
+lasts: the rarer the hedges, the more likely each of them replaces a stalled server."""
+MIN_SAMPLES = 40
+UNSAMPLED_DELAY_FACTOR = 2.0
+"""Before there are enough samples, a part is hedged after this multiple of the median latency."""
 MIN_HEDGE_DELAY: Millis = 8.0
-IN_TIME_FACTOR = 2.5
-"""How many usual latencies before the answer is due a part of a split gather is asked for again."""
+DUE_MARGIN_FACTOR = 2.5
+"""A part of a split gather is hedged this many median latencies before the answer is due."""
 
 
 class HedgeTimer:
-    """Works out the times of the hedges of one request.
+    """Computes when the shards of one request are hedged.
 
     Args:
         route: The name of its route.
-        table: The servers, with what was seen of them and what is left of their budgets.
-        due: When a hedge's answer has to be in, for a share of a gather; None for no such bound.
+        table: The servers, with their latencies and what is left of their budgets.
+        due: When a hedge's answer has to arrive, for a share of a gather; None for no such limit.
     """
 
     def __init__(self, route: str, table: TargetTable, due: Millis | None) -> None:
@@ -34,27 +34,27 @@
         self._due = due
 
     def hedge_at(self, upstream: str, sent_at: Millis) -> Millis:
-        """Return when another server is asked as well for what was sent at a time.
+        """Return when a request sent at a given time is hedged.
 
-        While many servers are slow, all but the quickest answers take as long as theirs: a part
-        that is asked for again only after that is of no use.
+        While many servers are slow, most quantiles of the latencies are those of slow servers. A
+        hedge that waits for such a quantile is too late to help.
         """
-        usual = sent_at + self._delay(upstream, sent_at)
+        regular = sent_at + self._delay(upstream, sent_at)
         if self._due is None:
-            return usual
-        last = self._due - IN_TIME_FACTOR * self._usual_latency(upstream)
-        return usual if last <= sent_at + MIN_HEDGE_DELAY else min(usual, last)
+            return regular
+        latest = self._due - DUE_MARGIN_FACTOR * self._median_latency(upstream)
+        return regular if latest <= sent_at + MIN_HEDGE_DELAY else min(regular, latest)
 
-    def _usual_latency(self, upstream: str) -> Millis:
+    def _median_latency(self, upstream: str) -> Millis:
         latencies = self._table.route_latencies(self._route)
-        if latencies.samples < ENOUGH_SAMPLES:
+        if latencies.samples < MIN_SAMPLES:
             return self._table.upstream(upstream).latencies.median
         return latencies.median
 
     def _delay(self, upstream: str, now: Millis) -> Millis:
         latencies = self._table.route_latencies(self._route)
-        if latencies.samples < ENOUGH_SAMPLES:
-            return GUESS_FACTOR * self._usual_latency(upstream)
+        if latencies.samples < MIN_SAMPLES:
+            return UNSAMPLED_DELAY_FACTOR * self._median_latency(upstream)
         span = LATEST_HEDGE_QUANTILE - EARLIEST_HEDGE_QUANTILE
-        level = self._table.budget_level(upstream, now)
+        level = self._table.remaining_budget(upstream, now)
         return max(MIN_HEDGE_DELAY, latencies.quantile(LATEST_HEDGE_QUANTILE - span * level))
--- a/src/alderhatch/core/forwarding/outcome.py
+++ b/src/alderhatch/core/forwarding/outcome.py
@@ -1,4 +1,4 @@
-"""How a forwarded request can end."""
+"""The possible outcomes of a forwarded request."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class FailureReason(StrEnum):
-    """Why a request came to no answer."""
+    """Why a request got no answer."""
 
     NO_SERVER = "no_server"
-    """No server of the upstream, or of too many shards, could be asked."""
+    """No server of the upstream, or of too many shards, was available."""
     REFUSED = "refused"
-    """Every server that was asked refused it."""
+    """Every server that was tried refused it."""
     FAILED = "failed"
     """Servers failed, or connections broke."""
     TIMEOUT = "timeout"
-    """No answer came in time."""
+    """No answer arrived in time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,9 +28,9 @@
     """There is an answer for the caller."""
 
     parts: dict[str, object]
-    """The shards' answers by their upstreams."""
+    """The shards' answers by upstream."""
     missing: int
-    """How many shards are left out."""
+    """How many shards have no part in the answer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     bundles: tuple[PartsBundle, ...]
     """The parts; no shard is in two of them."""
     missing: int
-    """How many shards are left out."""
+    """How many shards have no part in the answer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,11 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request may have run, and there is no answer that counts."""
+    """The request may have run, and there is no successful answer."""
 
     reason: FailureReason
     answer: object = None
-    """A server's own word that it failed, if it gave one."""
+    """A server's error response, if there was one."""
 
 
 Outcome: TypeAlias = Answered | Gathered | NotRun | Failed
--- a/src/alderhatch/core/forwarding/parts_bundle.py
+++ b/src/alderhatch/core/forwarding/parts_bundle.py
@@ -1,4 +1,4 @@
-"""Parts of a gather that were merged already."""
+"""Parts of a gather that are already merged."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 
 class PartsBundle(NamedTuple):
-    """The answers of some shards as one."""
+    """The merged answers of some shards."""
 
     shards: tuple[str, ...]
     signatures: tuple[bytes, ...]
     """Each server's signature of its answer, in the order of the shards."""
     records: bytes
-    """The greatest records of these answers, greatest first, as many as the route wants."""
+    """The greatest records of these answers, greatest first, limited to the number that the route
+    wants."""
     spent: tuple[str, ...] = ()
-    """Shards that no other host may ask for any more."""
+    """Shards that no other host may query any more."""
--- a/src/alderhatch/core/forwarding/retry_budget.py
+++ b/src/alderhatch/core/forwarding/retry_budget.py
@@ -1,4 +1,4 @@
-"""A bound on the requests that reach an upstream beyond the first of each."""
+"""Limits the additional requests (retries and hedges) that reach an upstream."""
 
 from __future__ import annotations
 
@@ -7,33 +7,34 @@
 
 from ...clock import SECOND, Millis
 
-SLOT: Millis = 250.0
-"""Requests are counted in steps of this length; a step counts as long as any of it is in the
+BUCKET: Millis = 250.0
+"""Requests are counted in buckets of this length; a bucket counts while any of it is in the
 window."""
 
 
-NAMED_PART = 0.65
-"""The part of the constant for the hosts that callers are sent to."""
-OTHERS_PART = 0.2
-"""The part for all others. The rest is for moments in which hosts don't agree on who is which."""
+ACTIVE_FRACTION = 0.65
+"""The fraction of ``BudgetLimits.constant`` for the active hosts."""
+STANDBY_FRACTION = 0.2
+"""The fraction for the standby hosts. The rest covers moments in which hosts don't agree on which
+hosts are active."""
 
 OWNER_FRACTION = 0.35
-"""The part for the host that asks an upstream for all; one that is cut off may go on as the owner
-beside its successor."""
-REST_PART = 0.2
-"""The part for the other hosts that callers are sent to: what a lost owner had under way they ask
-for again."""
-STANDBYS_PART = 0.05
-"""The part for all that callers are not sent to, where one host asks for all."""
+"""The fraction for the host that queries an upstream for all; one that is partitioned may continue
+as the owner beside its successor."""
+OTHER_ACTIVE_FRACTION = 0.2
+"""The fraction for the other active hosts, which repeat the requests that a lost owner had in
+flight."""
+OWNED_STANDBY_FRACTION = 0.05
+"""The fraction for all standby hosts, where one host queries an upstream for all."""
 
 
 class BudgetLimits(NamedTuple):
-    """How many extra requests all hosts together may send to one upstream."""
+    """How many additional requests all hosts together may send to one upstream."""
 
     ratio: float
     """For each request in the window."""
     constant: float
-    """Besides, in each window."""
+    """In each window, independent of the number of requests."""
     window: Millis
 
 
@@ -44,119 +45,125 @@
     constant: float
 
 
-def constant_fraction(alive: int, named: int, is_named: bool) -> float:
-    """Return which part of the constant one host may use.
+def constant_fraction(live_hosts: int, active_hosts: int, is_active: bool) -> float:
+    """Return the fraction of the constant that one host may use.
 
-    Hosts that stand by send next to nothing. Divided evenly, the budget of two hundred hosts left
-    the five that callers are sent to a fortieth of it: parts that were late were not asked for
-    again, and answers came late or without them.
+    Standby hosts send almost nothing. With the budget of two hundred hosts divided evenly, the five
+    active ones had a fortieth of it: late parts were not hedged, and answers were late or
+    incomplete.
 
     Args:
-        alive: The most hosts that there were lately.
-        named: How many of them callers were sent to lately.
-        is_named: Whether the host is one of these.
+        live_hosts: The highest recent number of hosts.
+        active_hosts: How many of them were active recently.
+        is_active: Whether the host is one of these.
     """
-    evenly = 1.0 / max(1, alive)
-    others = alive - named
-    if named == 0 or others <= 0:
-        return evenly
-    if is_named:
-        return max(NAMED_PART / named, (NAMED_PART + OTHERS_PART) * evenly)
-    return min(OTHERS_PART / others, (NAMED_PART + OTHERS_PART) * evenly)
-
-
-def owner_constant_fraction(alive: int, named: int, is_named: bool, is_owner: bool) -> float:
-    """Return which part of the constant one host may use where one host asks an upstream for all.
-
-    Divided among all that callers are sent to, five sixths of it would be with hosts that have no
-    use for it, and the parts of late servers were not asked for again.
+    even_fraction = 1.0 / max(1, live_hosts)
+    standby_hosts = live_hosts - active_hosts
+    if active_hosts == 0 or standby_hosts <= 0:
+        return even_fraction
+    if is_active:
+        return max(
+            ACTIVE_FRACTION / active_hosts, (ACTIVE_FRACTION + STANDBY_FRACTION) * even_fraction
+        )
+    return min(
+        STANDBY_FRACTION / standby_hosts, (ACTIVE_FRACTION + STANDBY_FRACTION) * even_fraction
+    )
+
+
+def owner_constant_fraction(
+    live_hosts: int, active_hosts: int, is_active: bool, is_owner: bool
+) -> float:
+    """Return the fraction of the constant for one host, where one host queries an upstream for all.
+
+    Divided among all active hosts, five sixths of it would be with hosts that have no use for it,
+    and late parts would not be hedged.
 
     Args:
-        alive: The most hosts that there were lately.
-        named: How many of them callers were sent to lately.
-        is_named: Whether the host is one of these.
-        is_owner: Whether it is the one that asks.
+        live_hosts: The highest recent number of hosts.
+        active_hosts: How many of them were active recently.
+        is_active: Whether the host is one of these.
+        is_owner: Whether it is the one that queries the upstream.
     """
     if is_owner:
         return OWNER_FRACTION
-    if is_named:
-        return REST_PART / max(1, named - 1)
-    return STANDBYS_PART / max(1, alive - named)
+    if is_active:
+        return OTHER_ACTIVE_FRACTION / max(1, active_hosts - 1)
+    return OWNED_STANDBY_FRACTION / max(1, live_hosts - active_hosts)
 
 
-class _SlidingCount:
-    """Counts events of a sliding window, with the sum at hand.
+class _SlidingWindowCounter:
+    """Counts the events of a sliding window and keeps their total up to date.
 
-    A request over a hundred shards asks for the sum a hundred times and more; added up anew each
-    time, the steps of ten seconds took a sixteenth of its processor time.
+    A request over a hundred shards reads the total a hundred times and more; summing the buckets of
+    ten seconds each time took a sixteenth of its processor time.
     """
 
     def __init__(self, window: Millis) -> None:
         self._window = window
-        self._steps: deque[tuple[Millis, int]] = deque()
-        """When each whole step began, and its count."""
-        self._began: Millis = 0.0
-        self._count = 0
-        """Of the step that is going on."""
-        self._sum = 0
+        self._buckets: deque[tuple[Millis, int]] = deque()
+        """The start and the count of each complete bucket."""
+        self._bucket_start: Millis = 0.0
+        self._bucket_count = 0
+        """The count of the current bucket."""
+        self._total_count = 0
 
     def add(self, now: Millis) -> None:
         """Count one event."""
-        if now >= self._began + SLOT:
-            # Nobody may ever ask for the sum, as for an upstream whose requests must not run twice;
-            # old steps that only went then would fill the memory over days.
+        if now >= self._bucket_start + BUCKET:
+            # The total may never be read, as for an upstream whose requests are not idempotent. If
+            # only reading it dropped old buckets, they would fill the memory over days.
             self.total(now)
-            self._steps.append((self._began, self._count))
-            self._began = now
-            self._count = 0
-        self._count += 1
-        self._sum += 1
+            self._buckets.append((self._bucket_start, self._bucket_count))
+            self._bucket_start = now
+            self._bucket_count = 0
+        self._bucket_count += 1
+        self._total_count += 1
 
     def total(self, now: Millis) -> int:
-        """Return how many events the steps hold that began within the window."""
-        steps = self._steps
-        while steps and steps[0][0] <= now - self._window:
-            self._sum -= steps.popleft()[1]
-        if self._began <= now - self._window:
-            self._sum -= self._count
-            self._count = 0
-        return self._sum
+        """Return the number of events in the buckets that began within the window."""
+        buckets = self._buckets
+        while buckets and buckets[0][0] <= now - self._window:
+            self._total_count -= buckets.popleft()[1]
+        if self._bucket_start <= now - self._window:
+            self._total_count -= self._bucket_count
+            self._bucket_count = 0
+        return self._total_count
 
 
 class RetryBudget:
     """Counts the requests of one upstream in a sliding window.
 
-    The budget is shared by all hosts without a message for each request: the part that grows with
-    the requests is each host's own, since each counts its own requests, and of the constant each
-    has its ``constant_fraction``. Together they never exceed the whole, whoever gets the traffic.
+    All hosts share the budget without a message for each request: the part that grows with the
+    requests belongs to each host, since each counts its own requests, and of the constant each has
+    its ``constant_fraction``. Together they never exceed the budget, wherever the traffic goes.
 
     Args:
         window: The length of the window in milliseconds.
     """
 
     def __init__(self, window: Millis = 10 * SECOND) -> None:
-        self._first = _SlidingCount(window)
-        # A step that has only just left the window at its beginning may still be in the window
-        # that the servers' side counts, so extra requests are held for one more step.
-        self._extra = _SlidingCount(window + SLOT)
+        self._first_requests = _SlidingWindowCounter(window)
+        # A bucket that has just left the window may still be in the window that the servers count,
+        # so additional requests are counted for one more bucket.
+        self._additional = _SlidingWindowCounter(window + BUCKET)
 
     def count_first(self, now: Millis) -> None:
-        """Count a request that goes to this upstream."""
-        self._first.add(now)
+        """Count a request to this upstream, without its retries and hedges."""
+        self._first_requests.add(now)
 
-    def level(self, share: BudgetShare, now: Millis) -> float:
-        """Return which part of what the window allows is left, between 0 and 1."""
-        allowed = share.ratio * self._first.total(now) + share.constant
-        return max(0.0, 1.0 - self._extra.total(now) / allowed) if allowed > 0 else 0.0
+    def remaining_fraction(self, share: BudgetShare, now: Millis) -> float:
+        """Return the fraction of the window's budget that is left, between 0 and 1."""
+        allowed = share.ratio * self._first_requests.total(now) + share.constant
+        return max(0.0, 1.0 - self._additional.total(now) / allowed) if allowed > 0 else 0.0
 
-    def left(self, share: BudgetShare, now: Millis) -> float:
-        """Return how many extra requests may be sent now; below 1 is none."""
-        allowed = share.ratio * self._first.total(now) + share.constant
-        return allowed - self._extra.total(now)
+    def remaining(self, share: BudgetShare, now: Millis) -> float:
+        """Return how many additional requests may be sent now; below 1 means none."""
+        allowed = share.ratio * self._first_requests.total(now) + share.constant
+        return allowed - self._additional.total(now)
 
     def spend(self, share: BudgetShare, now: Millis) -> bool:
-        """Count one extra request; return False, and count none, if the budget is used up."""
-        if self.left(share, now) < 1.0:
+        """Count one additional request; if the budget is exhausted, return False instead."""
+        if self.remaining(share, now) < 1.0:
             return False
-        self._extra.add(now)
+        self._additional.add(now)
         return True
--- a/src/alderhatch/core/forwarding/route.py
+++ b/src/alderhatch/core/forwarding/route.py
@@ -1,4 +1,4 @@
-"""What an operator says of one kind of forwarded request."""
+"""The operator's settings for forwarded requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class WeightedUpstream(NamedTuple):
-    """One part of a split."""
+    """One upstream of a traffic split."""
 
     upstream: str
     weight: float
@@ -38,14 +38,14 @@
     top_k: int
     """How many of the greatest records the answer has."""
     min_coverage: float
-    """The least share of the shards, between 0 and 1, with which an answer is a success."""
+    """The minimum fraction of the shards, between 0 and 1, with which an answer is a success."""
 
 
 Destination: TypeAlias = OneUpstream | SplitUpstreams | AllShards
 
 
 class Route(NamedTuple):
-    """One entry of the ordered list: when host and path match, then treat the request so."""
+    """One entry of the ordered list: which requests it matches and how to treat them."""
 
     name: str
     host: str
@@ -59,7 +59,7 @@
     timeout: Millis
     """The longest time that a caller is kept waiting."""
     target_latency: Millis
-    """The time, from the caller's first try, within which an answer has its full value."""
+    """The time, from the caller's first attempt, within which an answer has its full value."""
     rank: int
     """The priority; 0 is the most urgent."""
 
@@ -76,7 +76,7 @@
 
 
 class UpstreamSettings(NamedTuple):
-    """What an operator says of one upstream."""
+    """The operator's settings for one upstream."""
 
     name: str
     max_connections: int
@@ -84,11 +84,11 @@
     cold_span: Millis = 0.0
     """How long its servers are cold after a start."""
     cold_rate: float | None = None
-    """How many requests a second a cold server bears; None if that isn't limited."""
+    """How many requests per second a cold server can handle; None if there is no limit."""
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and the duration of a caller's request."""
 
     head_bytes: int = 16_384
     body_bytes: int = 262_144
@@ -97,7 +97,7 @@
 
 
 class TierConfiguration(NamedTuple):
-    """Everything that an operator's change with a number of its own declares."""
+    """Everything that one version of the configuration declares."""
 
     version: int
     routes: tuple[Route, ...]
--- a/src/alderhatch/core/forwarding/route_table.py
+++ b/src/alderhatch/core/forwarding/route_table.py
@@ -8,10 +8,10 @@
 
 
 class RouteTable:
-    """The routes as an ordered list of conditions, of which the first that holds decides.
+    """The routes as an ordered list of conditions, of which the first match decides.
 
     Routes of one host are ordered by the length of their prefix, longest first, so the first match
-    is the most specific one. Each route is found by its whole prefix in a table: a list of several
+    is the most specific one. Each prefix of a path is looked up in a dictionary: a list of several
     hundred routes would otherwise be searched for every request.
 
     Args:
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        self._by_place = {(route.host, route.path_prefix): route for route in routes}
+        self._by_prefix = {(route.host, route.path_prefix): route for route in routes}
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the first route that matches, or None.
@@ -30,7 +30,7 @@
         """
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = self._by_place.get((host, path[: end + 1]))
+            route = self._by_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
         return None
--- a/src/alderhatch/core/forwarding/run_limits.py
+++ b/src/alderhatch/core/forwarding/run_limits.py
@@ -1,4 +1,4 @@
-"""What binds the run of a forwarded request."""
+"""Deadlines and rules of a forwarded request's run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RunTimes(NamedTuple):
-    """The points in time that a request is bound by."""
+    """The arrival time and the deadlines of a request."""
 
     arrived: Millis
     answer_by: Millis
@@ -19,20 +19,20 @@
 
 
 class ShareRules(NamedTuple):
-    """What binds a run that asks only for a share of a gather."""
+    """Rules for a run that queries a share of a gather."""
 
     servers: Mapping[str, Container[str]]
-    """For shards with more servers than a request may run on, those that hosts have agreed on, so
-    that one that asks after another one asks the same. Where none of these is sound a request may
-    go elsewhere; no other host asks for that shard then."""
+    """For shards with more servers than a request may run on: the servers that hosts agree on, so
+    that a host that repeats another host's query uses the same ones. Where none of these is
+    healthy, a request may use another server; no other host queries that shard then."""
     is_repeat: bool
-    """Whether another host may have asked for the same shards."""
+    """Whether another host may have queried the same shards."""
     due: Millis
     """When the answer of the whole gather should leave."""
 
 
 def min_parts(shards: int, min_coverage: float) -> int:
-    """Return the fewest shards whose share of all is no less than the coverage; at least one."""
+    """Return the smallest number of shards that reaches the minimum coverage; at least one."""
     least = int(min_coverage * shards)
     while least < shards and least / shards < min_coverage:
         least += 1
--- a/src/alderhatch/core/forwarding/run_trace.py
+++ b/src/alderhatch/core/forwarding/run_trace.py
@@ -1,4 +1,4 @@
-"""Keeps what was decided about a request with what each decision was based on."""
+"""Records the decisions about a request with the data that each was based on."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from .target import Target
 from .target_table import TargetTable
 
-MAX_TRACE = 400
-"""Decisions kept of one request: three for each of 100 shards, and some."""
+MAX_DECISIONS = 400
+"""Decisions kept for one request: three for each of 100 shards, and some more."""
 
 
 class RunTrace:
     """The decisions of one request, oldest first.
 
     Args:
-        table: The servers as they are when a decision is made.
+        table: The servers, with their state at the time of each decision.
         arrived: When the request arrived.
     """
 
@@ -26,7 +26,7 @@
         self._table = table
         self._arrived = arrived
 
-    def note(
+    def record_decision(
         self,
         now: Millis,
         kind: DecisionKind,
@@ -34,16 +34,16 @@
         target: Target | None = None,
         why: str = "",
     ) -> None:
-        """Keep one decision, unless there are too many already.
+        """Record one decision, unless there are too many already.
 
         Args:
             now: The time.
             kind: What was decided.
-            shard: For which shard.
-            target: The server that it is about, if any.
-            why: The reason, where the kind does not say it.
+            shard: The shard that it concerns.
+            target: The server that it concerns, if any.
+            why: The reason, where the kind does not imply it.
         """
-        if len(self.decisions) >= MAX_TRACE:
+        if len(self.decisions) >= MAX_DECISIONS:
             return
         at = now - self._arrived
         if target is None or kind is DecisionKind.FAULT:
@@ -52,7 +52,7 @@
             return
         upstream = shard.upstream
         is_first = kind is DecisionKind.SEND
-        budget = -1.0 if is_first else self._table.budget_level(upstream, now)
+        budget = -1.0 if is_first else self._table.remaining_budget(upstream, now)
         age = now - target.others_at if target.others_at > NEVER else -1.0
         load = target.load(now)
         candidates = self._table.count_usable(upstream, now)
--- a/src/alderhatch/core/forwarding/server_record.py
+++ b/src/alderhatch/core/forwarding/server_record.py
@@ -1,4 +1,4 @@
-"""What the list of servers says of one server."""
+"""One entry of the server list."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
     """One running server of an upstream."""
 
     server_id: str
-    """Names this start of the server; a later start at the same address has another one."""
+    """Identifies this start of the server; a later start at the same address has a different id."""
     upstream: str
     address: str
     """An IP address."""
     port: int
     zone: str
     slots: int
-    """How many requests it runs at the same time."""
+    """How many requests it runs concurrently."""
     draining: bool
     """Whether it is about to leave and takes no new work."""
     warm_up: Millis = 0.0
--- a/src/alderhatch/core/forwarding/server_state_change.py
+++ b/src/alderhatch/core/forwarding/server_state_change.py
@@ -1,4 +1,4 @@
-"""What is told to the log when a host changes its mind about a server."""
+"""A change of a server's state, for the log."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class ServerStateChange(NamedTuple):
-    """What this host believes of a server is no longer what it was."""
+    """A server's state, as this host sees it, has changed."""
 
     server_id: str
     upstream: str
     belief: str
     """``listed``, ``leaving``, ``staying``, ``gone`` or ``ejected``."""
     why: str
-    """The source, or the fault that decided it."""
+    """The source, or the fault that caused it."""
--- a/src/alderhatch/core/forwarding/shard_state.py
+++ b/src/alderhatch/core/forwarding/shard_state.py
@@ -1,4 +1,4 @@
-"""What a forwarded request knows of one shard."""
+"""The state of one shard of a forwarded request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """One attempt that is out."""
+    """One attempt in flight."""
 
     target: Target
     at: Millis
@@ -21,29 +21,30 @@
     """One shard of a request, or its only upstream if it goes to a single server."""
 
     upstream: str
-    out: dict[int, SentAttempt] = field(default_factory=dict)
-    """Attempts whose outcome is not known."""
+    in_flight: dict[int, SentAttempt] = field(default_factory=dict)
+    """Attempts without a result, by number."""
     hedge_at: Millis | None = None
-    """When another server is asked as well; None until it is worked out."""
+    """When a second server is queried; None until it is computed."""
     sends: int = 0
-    """Requests that left this host for it."""
+    """Requests that this host sent for it."""
     may_have_run: set[str] = field(default_factory=set)
     """The servers that may have begun to work on it."""
     refused_by: dict[str, Millis] = field(default_factory=dict)
-    """When servers refused it without running it."""
+    """When each server refused it without running it."""
     part: object = None
-    """The answer that counts."""
+    """The answer, once there is one."""
     failure: object = None
-    """The newest answer with which a server said that it failed."""
+    """The latest error response of a server."""
     without_server_since: Millis | None = None
-    """Since when no server could be asked; None while one is out or was found."""
+    """Since when no server was usable; None while an attempt is in flight or a server was found."""
     given_up: bool = False
     is_spent: bool = False
-    """Whether it was asked for at a server that other hosts would not ask, so that none may."""
-    waits_until: Millis | None = None
-    """When to look for a server again, if none could be asked."""
+    """Whether it was sent to a server that other hosts would not use, so that no other host may
+    query it."""
+    retry_at: Millis | None = None
+    """When to look for a server again, if none was usable."""
 
     @property
     def open(self) -> bool:
-        """Whether an answer may still come."""
+        """Whether an answer may still arrive."""
         return self.part is None and not self.given_up
--- a/src/alderhatch/core/forwarding/split_run.py
+++ b/src/alderhatch/core/forwarding/split_run.py
@@ -1,4 +1,4 @@
-"""One gather that several hosts ask for together, as a state machine without I/O."""
+"""One gather that is split among several hosts, as a state machine without I/O."""
 
 from __future__ import annotations
 
@@ -12,46 +12,47 @@
 from .run_limits import RunTimes
 
 FIRST_REPORT_FRACTION = 0.25
-"""After this part of the time until the answer is due a host tells what it has, if only nothing."""
-PATIENCE = 0.5
-"""After this part the parts of a host that has said nothing are asked for here as well."""
-MIN_PATIENCE: Millis = 60.0
-"""A host that works on two other large gathers says its first word some 30 ms late. Asked beside it
-sooner, servers get each part twice just when hosts are busy."""
+"""After this fraction of the time until the answer is due, a host reports what it has, even if that
+is nothing."""
+SILENCE_TIMEOUT_FRACTION = 0.5
+"""After this fraction, the parts of a host that has reported nothing are queried here as well."""
+MIN_SILENCE_TIMEOUT: Millis = 60.0
+"""A host that works on two other large gathers sends its first report some 30 ms late. With a
+shorter time-out, servers would get each part twice just when hosts are busy."""
 HOP_LATENCY: Millis = 3.0
-"""From one host's last word to the other's merge of it."""
+"""From one host's last report to its merge at the other host."""
 
 
 class QueryHost(NamedTuple):
-    """Have another host ask for its share."""
+    """Have another host query its share."""
 
     number: int
     share: HostShare
 
 
 class QueryLocally(NamedTuple):
-    """Ask for shards at this host."""
+    """Query shards from this host."""
 
     number: int
     shards: tuple[str, ...]
     is_repeat: bool
-    """Whether another host may have asked for them before."""
+    """Whether another host may have queried them before."""
 
 
 class CancelShare(NamedTuple):
-    """Nothing of a share is wanted any more."""
+    """Cancel a share whose result is no longer needed."""
 
     number: int
 
 
 class HostSilent(NamedTuple):
-    """A host has said nothing for so long that it should be passed over for a while."""
+    """A host has reported nothing for so long that it should be avoided for a while."""
 
     number: int
 
 
 class Finish(NamedTuple):
-    """The gather is over."""
+    """The gather is finished."""
 
     outcome: Outcome
 
@@ -61,61 +62,62 @@
 
 @dataclass(slots=True)
 class _Share:
-    """Shards that one host asks for."""
+    """Shards that one host queries."""
 
     missing: set[str]
     is_remote: bool
     spent: set[str] = field(default_factory=set)
-    """Those that no other host may ask for."""
-    heard: bool = False
+    """Those that no other host may query."""
+    has_reported: bool = False
     ended: bool = False
-    rival: int | None = None
-    """The other share with the same shards, if this host and a silent one both ask for them."""
+    duplicate: int | None = None
+    """The number of the other share with the same shards, if this host queries them in addition to
+    a silent host."""
 
 
 class SplitRun:
-    """Decides when a gather over several hosts is good enough, and what a lost host means.
+    """Decides when a gather over several hosts is good enough, and how to replace a lost host.
 
-    What a lost host did not bring is asked for by the first host itself; of a host that is silent,
-    the first host asks as well, and whoever brings parts first is taken alone. Taken from both,
-    records of one part would be in the answer twice.
+    The first host itself queries what a lost host did not return. It also queries what a silent
+    host was asked for, and uses only the results of whichever returns parts first. Otherwise
+    records of one part could be in the answer twice.
 
     Args:
-        plan: Who asks for which shards.
-        least: The least number of parts of an answer.
-        times: What the request is bound by.
+        plan: Which host queries which shards.
+        min_parts: The minimum number of parts of an answer.
+        times: The deadlines of the request.
     """
 
-    def __init__(self, plan: GatherPlan, least: int, times: RunTimes) -> None:
+    def __init__(self, plan: GatherPlan, min_parts: int, times: RunTimes) -> None:
         self.times = times
         self.finished = False
         self.omitted_late_parts = False
-        """Whether the answer left without parts that might still have come, as it was due."""
+        """Whether the answer was sent when due, without parts that might still have arrived."""
         self._plan = plan
-        self._least = least
+        self._min_parts = min_parts
         self._total = len(plan.own) + sum(len(share.shards) for share in plan.others)
         self._shares: list[_Share] = []
         self._bundles: list[PartsBundle] = []
         self._parts_in = 0
-        self._was_due_in_time = False
-        self._patient_until: Millis = 0.0
+        self._reached_min_in_time = False
+        self._silent_at: Millis = 0.0
         self._effects: list[Effect] = []
 
     def start(self, now: Millis) -> list[Effect]:
-        """Have all shards asked for."""
-        span = max(MIN_PATIENCE, PATIENCE * (self.times.answer_by - now))
-        self._patient_until = now + span
+        """Start the queries for all shards."""
+        span = max(MIN_SILENCE_TIMEOUT, SILENCE_TIMEOUT_FRACTION * (self.times.answer_by - now))
+        self._silent_at = now + span
         for share in self._plan.others:
-            self._effects.append(QueryHost(self._add(share.shards, True), share))
+            self._effects.append(QueryHost(self._add_share(share.shards, True), share))
         if self._plan.own:
-            self._ask_here(self._plan.own, False)
-        return self._flush()
+            self._query_locally(self._plan.own, False)
+        return self._take_effects()
 
     def on_parts(self, number: int, bundle: PartsBundle, now: Millis) -> list[Effect]:
-        """Take parts that came in; none for a sign of life.
+        """Handle parts that arrived; a bundle without parts only shows that the host is alive.
 
         Raises:
-            ValueError: If a part was not asked for there, or came before.
+            ValueError: If a part was not requested there, or arrived before.
         """
         share = self._shares[number]
         if share.ended or self.finished:
@@ -123,113 +125,113 @@
         if len(set(bundle.shards)) != len(bundle.shards) or not share.missing.issuperset(
             bundle.shards
         ):
-            raise ValueError("a part that was not asked for, or came before")
-        share.heard = True
+            raise ValueError("shards: a part was not requested there, or arrived before")
+        share.has_reported = True
         share.spent.update(bundle.spent)
         if bundle.shards:
-            self._drop_rival(share)
+            self._cancel_duplicate(share)
             share.missing.difference_update(bundle.shards)
             self._bundles.append(bundle)
-            self._count(len(bundle.shards), now)
-        return self._settle(now)
+            self._count_parts(len(bundle.shards), now)
+        return self._finish_if_done(now)
 
     def on_end(self, number: int, now: Millis) -> list[Effect]:
-        """Take the word that no more parts of a share will come."""
+        """Handle a report that no more parts of a share will come."""
         self._shares[number].ended = True
-        return self._settle(now)
+        return self._finish_if_done(now)
 
     def on_lost(self, number: int, may_have_run: bool, now: Millis) -> list[Effect]:
-        """Take note that a host won't bring the rest of its share.
+        """Handle the loss of a host before it returned the rest of its share.
 
         Args:
             number: The share.
-            may_have_run: Whether any server may have got a request of it.
+            may_have_run: Whether any server may have received a request of it.
             now: The time.
         """
-        self._replace(self._shares[number], may_have_run)
-        return self._settle(now)
+        self._query_missing(self._shares[number], may_have_run)
+        return self._finish_if_done(now)
 
     def on_timer(self, now: Millis) -> list[Effect]:
-        """Do what is due by now."""
+        """Handle a timer event."""
         if now >= self.times.deadline:
             self._finish(self._outcome_without_answer(FailureReason.TIMEOUT))
-            return self._flush()
-        if now >= self._patient_until:
+            return self._take_effects()
+        if now >= self._silent_at:
             for number, share in enumerate(list(self._shares)):
-                if self._is_awaited(share):
+                if self._is_silent(share):
                     self._effects.append(HostSilent(number))
-                    self._challenge(number, share)
-        return self._settle(now)
+                    self._query_duplicate(number, share)
+        return self._finish_if_done(now)
 
     @property
     def next_wake(self) -> Millis:
         """When ``on_timer`` is to be called next, at the latest."""
         due = self.times.deadline
-        if self._parts_in >= self._least:
+        if self._parts_in >= self._min_parts:
             due = min(due, self.times.answer_by)
-        if any(self._is_awaited(share) for share in self._shares):
-            due = min(due, self._patient_until)
+        if any(self._is_silent(share) for share in self._shares):
+            due = min(due, self._silent_at)
         return due
 
-    def _is_awaited(self, share: _Share) -> bool:
-        is_silent = share.is_remote and not share.heard
-        return is_silent and not share.ended and share.rival is None
+    def _is_silent(self, share: _Share) -> bool:
+        not_reported = share.is_remote and not share.has_reported
+        return not_reported and not share.ended and share.duplicate is None
 
-    def _add(self, shards: tuple[str, ...], is_remote: bool) -> int:
+    def _add_share(self, shards: tuple[str, ...], is_remote: bool) -> int:
         self._shares.append(_Share(set(shards), is_remote))
         return len(self._shares) - 1
 
-    def _ask_here(self, shards: tuple[str, ...], is_repeat: bool) -> None:
-        self._effects.append(QueryLocally(self._add(shards, False), shards, is_repeat))
+    def _query_locally(self, shards: tuple[str, ...], is_repeat: bool) -> None:
+        self._effects.append(QueryLocally(self._add_share(shards, False), shards, is_repeat))
 
-    def _challenge(self, number: int, share: _Share) -> None:
-        """Ask here as well for what a silent host was asked for."""
-        self._ask_here(tuple(sorted(share.missing)), True)
-        share.rival = len(self._shares) - 1
-        self._shares[share.rival].rival = number
+    def _query_duplicate(self, number: int, share: _Share) -> None:
+        """Query from this host as well what a silent host was asked for."""
+        self._query_locally(tuple(sorted(share.missing)), True)
+        share.duplicate = len(self._shares) - 1
+        self._shares[share.duplicate].duplicate = number
 
-    def _drop_rival(self, share: _Share) -> None:
-        if share.rival is None:
+    def _cancel_duplicate(self, share: _Share) -> None:
+        if share.duplicate is None:
             return
-        rival = self._shares[share.rival]
-        if not rival.ended:
-            rival.ended = True
-            self._effects.append(CancelShare(share.rival))
+        duplicate = self._shares[share.duplicate]
+        if not duplicate.ended:
+            duplicate.ended = True
+            self._effects.append(CancelShare(share.duplicate))
 
-    def _has_rival(self, share: _Share) -> bool:
-        return share.rival is not None and not self._shares[share.rival].ended
+    def _has_active_duplicate(self, share: _Share) -> bool:
+        return share.duplicate is not None and not self._shares[share.duplicate].ended
 
-    def _replace(self, share: _Share, may_have_run: bool) -> None:
+    def _query_missing(self, share: _Share, may_have_run: bool) -> None:
         if share.ended or self.finished:
             return
         share.ended = True
-        left = tuple(sorted(share.missing - share.spent))
-        if left and share.is_remote and not self._has_rival(share):
-            self._ask_here(left, may_have_run)
+        unanswered = tuple(sorted(share.missing - share.spent))
+        if unanswered and share.is_remote and not self._has_active_duplicate(share):
+            self._query_locally(unanswered, may_have_run)
 
-    def _count(self, parts: int, now: Millis) -> None:
+    def _count_parts(self, parts: int, now: Millis) -> None:
         before = self._parts_in
         self._parts_in += parts
-        if before < self._least <= self._parts_in:
-            self._was_due_in_time = now < self.times.answer_by
+        if before < self._min_parts <= self._parts_in:
+            self._reached_min_in_time = now < self.times.answer_by
 
-    def _settle(self, now: Millis) -> list[Effect]:
+    def _finish_if_done(self, now: Millis) -> list[Effect]:
         waiting = len(set().union(*(one.missing for one in self._shares if not one.ended)))
-        late = now >= self.times.answer_by
-        if self._parts_in >= self._least and (not waiting or late):
-            self.omitted_late_parts = bool(waiting) and self._was_due_in_time
+        is_due = now >= self.times.answer_by
+        if self._parts_in >= self._min_parts and (not waiting or is_due):
+            self.omitted_late_parts = bool(waiting) and self._reached_min_in_time
             self._finish(self._answer())
-        elif self._parts_in + waiting < self._least:
+        elif self._parts_in + waiting < self._min_parts:
             self._finish(self._outcome_without_answer(FailureReason.FAILED))
-        return self._flush()
+        return self._take_effects()
 
     def _answer(self) -> Gathered:
         return Gathered(tuple(self._bundles), self._total - self._parts_in)
 
     def _outcome_without_answer(self, reason: FailureReason) -> Outcome:
-        if self._parts_in >= self._least:
+        if self._parts_in >= self._min_parts:
             return self._answer()
-        # Other hosts may have asked servers already, so this never says that nothing ran.
+        # Other hosts may already have queried servers, so the outcome is never "not run".
         return Failed(reason)
 
     def _finish(self, outcome: Outcome) -> None:
@@ -241,7 +243,7 @@
                 self._effects.append(CancelShare(number))
         self._effects.append(Finish(outcome))
 
-    def _flush(self) -> list[Effect]:
+    def _take_effects(self) -> list[Effect]:
         effects = self._effects
         self._effects = []
         if self.finished:
--- a/src/alderhatch/core/forwarding/target.py
+++ b/src/alderhatch/core/forwarding/target.py
@@ -1,4 +1,4 @@
-"""One server that forwarded requests go to, as one host sees it."""
+"""One server that requests are forwarded to, as one host sees it."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 from ..policy import Policy
 from ..server_view import NEVER, ServerView
 from ..shard_map import Server
-from .cold_start_limiter import LIST_BEHIND, ColdServerLimiter
+from .cold_start_limiter import MAX_LIST_DELAY, ColdServerLimiter
 
 STALL_FACTOR = 4.0
-"""A server whose oldest request takes longer than this multiple of the median stands still."""
-TROUBLE_HALF_LIFE: Millis = 3 * SECOND
-"""A server that was avoided for its faults is tried again after some such spans."""
-MIN_STALL: Millis = 60.0
-"""Well over a usual answer, well under the pauses of 120 to 150 ms that servers take."""
+"""A server is stalled if its oldest request takes longer than this multiple of the median
+latency."""
+FAULT_RATE_HALF_LIFE: Millis = 3 * SECOND
+"""A server that was avoided for its faults is tried again after a few of these half-lives."""
+MIN_STALL_TIME: Millis = 60.0
+"""Well over a usual latency, well under the pauses of 120 to 150 ms that servers make."""
 
 
 class Target(ServerView):
-    """One server with the requests of this host that are out there."""
+    """One server, with this host's requests that are in flight there."""
 
     __slots__ = (
-        "_trouble",
-        "_trouble_at",
+        "_fault_rate",
+        "_fault_rate_at",
         "answered_at",
         "cold",
         "cold_span",
@@ -36,72 +37,72 @@
     ) -> None:
         super().__init__(server, typical, policy)
         self.upstream = upstream
-        self._trouble = 0.0
-        self._trouble_at: Millis = NEVER
+        self._fault_rate = 0.0
+        self._fault_rate_at: Millis = NEVER
         self.answered_at: Millis = NEVER
-        """When it last answered anything."""
+        """When it last answered any request."""
         self.cold = ColdServerLimiter()
-        """What it may get while it is cold."""
+        """Limits what it gets while it is cold."""
         self.cold_span: Millis = 0.0
-        """How long its upstream's servers are cold after a start."""
+        """How long servers of its upstream are cold after a start."""
         self.warm_up: Millis = 0.0
-        """How much longer it was to be cold by the list's last word."""
+        """How much longer it is cold, by the latest server list."""
         self.outstanding: dict[int, Millis] = {}
-        """When each request that is out there was sent, oldest first."""
+        """When each request that is in flight there was sent, oldest first."""
 
     def barred(self, now: Millis) -> bool:
-        """Return whether it must get nothing now, also because it is cold and got its share."""
-        return super().barred(now) or self.cold.closed(now)
+        """Return whether it must get nothing now, for example as a cold server at its limit."""
+        return super().barred(now) or self.cold.blocks(now)
 
     def doubtful(self, now: Millis) -> bool:
-        """Return whether it is asked only if no other replica is there."""
-        return super().doubtful(now) or now < self.cold.may_until
+        """Return whether it is used only if no other replica is available."""
+        return super().doubtful(now) or now < self.cold.maybe_until
 
-    def take_warm_up(self, warm_up: Millis, now: Millis) -> None:
-        """Take the list's word of how much longer it is cold, if that is new."""
+    def update_warm_up(self, warm_up: Millis, now: Millis) -> None:
+        """Set how much longer it is cold, if the list has a new value."""
         if warm_up == self.warm_up:
             return
         self.warm_up = warm_up
         self.cold.until = now + warm_up if warm_up > 0 else NEVER
-        self.cold.may_until = NEVER
+        self.cold.maybe_until = NEVER
         if warm_up > 0:
             self.saw_start(now - max(0.0, self.policy.slow_start_ms - warm_up))
 
-    def may_be_cold(self, now: Millis) -> None:
-        """Treat it as cold until the list would have said so."""
-        self.cold.until = max(self.cold.until, now + self.cold_span + LIST_BEHIND)
+    def assume_cold(self, now: Millis) -> None:
+        """Treat it as cold for one cold span and the delay of the server list."""
+        self.cold.until = max(self.cold.until, now + self.cold_span + MAX_LIST_DELAY)
 
-    def may_come_back_cold(self, now: Millis) -> None:
-        """Note that it is out of order; once it answers again it has probably started anew."""
+    def expect_cold_restart(self, now: Millis) -> None:
+        """Note that it does not respond; once it answers again it has probably been restarted."""
         if self.cold.allowed is not None:
-            self.cold.may_until = now + self.cold_span + LIST_BEHIND
+            self.cold.maybe_until = now + self.cold_span + MAX_LIST_DELAY
 
     def estimate(self, now: Millis) -> Millis:
-        """Return how long a request sent now is likely to take, with what a fault of it costs."""
-        return super().estimate(now) + self.policy.trouble_cost_ms * self.trouble(now)
+        """Return the expected latency of a request sent now, plus the expected cost of a fault."""
+        return super().estimate(now) + self.policy.trouble_cost_ms * self.fault_rate(now)
 
-    def trouble(self, now: Millis) -> float:
-        """Return which share of the requests lately came to nothing; it fades with time.
+    def fault_rate(self, now: Millis) -> float:
+        """Return the recent fraction of requests that failed; it decays with time.
 
-        A server that is well by its health and load may still refuse or fail a good part of its
-        requests. Each of those takes a second request out of the budget; with every other server
-        of an upstream like that, the budget is used up and the requests fail that need it.
+        A server whose health and load look good may still refuse or fail many of its requests. Each
+        of those uses up the retry budget; if every other server of an upstream is like that, the
+        budget is exhausted and the requests that need it fail.
         """
-        return float(self._trouble * 0.5 ** ((now - self._trouble_at) / TROUBLE_HALF_LIFE))
+        return float(self._fault_rate * 0.5 ** ((now - self._fault_rate_at) / FAULT_RATE_HALF_LIFE))
 
-    def count_outcome(self, is_fault: bool, now: Millis) -> None:
-        """Take an answer or a fault into the share of those that came to nothing."""
-        known = self.trouble(now)
-        self._trouble = known + self.policy.latency_weight * (float(is_fault) - known)
-        self._trouble_at = now
+    def record_outcome(self, is_fault: bool, now: Millis) -> None:
+        """Record an answer or a fault in the fault rate."""
+        known = self.fault_rate(now)
+        self._fault_rate = known + self.policy.latency_weight * (float(is_fault) - known)
+        self._fault_rate_at = now
 
-    def stands_still(self, now: Millis) -> bool:
-        """Return whether its oldest request is out for so long that it probably pauses.
+    def is_stalled(self, now: Millis) -> bool:
+        """Return whether its oldest request takes so long that it is probably paused.
 
-        Servers stop for a moment now and then. What is sent meanwhile waits for the end of the
-        pause, seen as an answer that is late by as much; the other replica answers at once.
+        Servers pause for a moment now and then. A request sent meanwhile waits for the end of the
+        pause and is answered late; the other replica answers at once.
         """
         if not self.outstanding:
             return False
         oldest = next(iter(self.outstanding.values()))
-        return now - oldest > max(MIN_STALL, STALL_FACTOR * self.typical.median)
+        return now - oldest > max(MIN_STALL_TIME, STALL_FACTOR * self.typical.median)
--- a/src/alderhatch/core/forwarding/target_table.py
+++ b/src/alderhatch/core/forwarding/target_table.py
@@ -20,66 +20,66 @@
 from .server_state_change import ServerStateChange
 from .shard_owners import ShardOwners
 from .target import Target
-from .upstream_targets import DEFAULT_MAX_CONNECTIONS, UpstreamTargets, usable
+from .upstream_targets import DEFAULT_MAX_CONNECTIONS, UpstreamTargets, connection_capacity
 
 EVACUATED_SOURCE = "evacuated"
-"""The source of the word that nothing may be sent to a server's availability zone."""
+"""The source of a drain that is caused by the evacuation of a server's availability zone."""
 LIST_SOURCE = "list"
-"""The source of the word that a server leaves: it is draining there, or gone."""
+"""The source of changes from the server list: the server is draining there, or gone."""
 MAX_CHANGES = 300
-"""Changes of belief kept until somebody asks for them; the oldest are dropped."""
-SILENT_AFTER: Millis = 200.0
-"""A server that has answered nothing for so long is out of order, as the pauses are shorter; one
-such silence is enough to leave it alone for a while."""
+"""State changes kept until they are read; the oldest are dropped."""
+SILENCE_LIMIT: Millis = 200.0
+"""A server that has answered nothing for so long is unresponsive, since pauses are shorter; one
+such silence is enough to eject it."""
 
 
 class TargetTable:
-    """All upstreams' servers: who is there, how well they do, and which one is asked.
+    """The servers of all upstreams: which are listed, their health, and which one is used.
 
     Args:
         zone: This host's availability zone.
-        terms: The budget for extra requests of each upstream.
-        policy: The numbers that the choice is tuned by.
+        budget_limits: The retry budget of each upstream.
+        policy: The tuning parameters of the choice.
         rng: Decides between servers that are equally good.
-        cold: What cold servers may get; None for no limit.
+        cold: The limits of cold servers; None for no limit.
     """
 
     def __init__(
         self,
         zone: str,
-        terms: BudgetLimits,
+        budget_limits: BudgetLimits,
         policy: Policy,
         rng: Random,
         cold: ColdServerLimits | None = None,
     ) -> None:
         self._zone = zone
-        self._terms = terms
-        self._cold = cold
+        self._budget_limits = budget_limits
+        self._cold_limits = cold
         self._owners: ShardOwners | None = None
         self.policy = policy
-        """The numbers that the choice is tuned by."""
+        """The tuning parameters of the choice."""
         self._rng = rng
-        self._constant_part = 1.0
-        self._owned_parts: dict[bool, float] = {}
-        """The part of the constant of upstreams that one host asks for all, by whether this one
-        does."""
+        self._constant_fraction = 1.0
+        self._owner_fractions: dict[bool, float] = {}
+        """The fraction of the constant for upstreams that one host queries for all, by whether this
+        host is that one."""
         self._connecting_hosts = 1
         self._evacuated: frozenset[str] = frozenset()
         """Availability zones whose servers get nothing."""
         self._sends = 0
-        """Requests sent to servers since somebody asked."""
+        """Requests sent to servers since the last call of ``take_sends``."""
         self._upstreams: dict[str, UpstreamTargets] = {}
         self._route_latencies: dict[str, LatencyHistogram] = {}
         self._changes: deque[ServerStateChange] = deque(maxlen=MAX_CHANGES)
 
-    # Who is there
+    # Membership
 
     def upstream(self, name: str) -> UpstreamTargets:
-        """Return an upstream; one that was never heard of has no servers."""
+        """Return an upstream; an unknown one has no servers."""
         known = self._upstreams.get(name)
         if known is None:
-            known = UpstreamTargets(name, self._terms, self.policy.first_latency_ms)
-            self._take_owner(known)
+            known = UpstreamTargets(name, self._budget_limits, self.policy.first_latency_ms)
+            self._update_owner(known)
             self._upstreams[name] = known
         return known
 
@@ -87,103 +87,103 @@
         self,
         constant_fraction: float,
         connecting: int,
-        owned_parts: dict[bool, float] | None = None,
+        owner_fractions: dict[bool, float] | None = None,
     ) -> None:
-        """Take which part of budgets and connections is this host's.
+        """Set this host's share of the budgets and connections.
 
         Args:
-            constant_fraction: Of the constant of each upstream's budget.
-            owned_parts: The same for upstreams that one host asks for all, by whether this one
-                does; None for no difference.
+            constant_fraction: Its fraction of the constant of each upstream's budget.
+            owner_fractions: The same for upstreams that one host queries for all, by whether this
+                host is that one; None for no difference.
             connecting: How many hosts hold connections to all servers.
         """
-        self._constant_part = constant_fraction
-        self._owned_parts = owned_parts or {}
+        self._constant_fraction = constant_fraction
+        self._owner_fractions = owner_fractions or {}
         self._connecting_hosts = max(1, connecting)
         for upstream in self._upstreams.values():
-            self._share_out(upstream)
+            self._update_connection_shares(upstream)
 
     def set_max_connections(self, limits: Mapping[str, int]) -> None:
-        """Take the connection limits of upstreams."""
+        """Set the connection limits of upstreams."""
         for name, limit in limits.items():
             upstream = self.upstream(name)
             upstream.max_connections = limit
-            self._share_out(upstream)
+            self._update_connection_shares(upstream)
 
     def set_upstreams(self, settings: Iterable[UpstreamSettings]) -> None:
-        """Take what the configuration says of upstreams."""
+        """Set the configuration of upstreams."""
         settings = list(settings)
         self.set_max_connections({one.name: one.max_connections for one in settings})
         for one in settings:
             upstream = self.upstream(one.name)
             upstream.cold_span = one.cold_span
-            upstream.cold_allowed = None
-            if self._cold is not None and one.cold_rate is not None:
-                upstream.cold_allowed = self._cold.allowed(one.cold_rate)
+            upstream.cold_rate_limit = None
+            if self._cold_limits is not None and one.cold_rate is not None:
+                upstream.cold_rate_limit = self._cold_limits.allowed(one.cold_rate)
             for target in upstream.targets.values():
-                self._take_cold_terms(upstream, target)
+                self._update_cold_limits(upstream, target)
 
     def set_owners(self, owners: ShardOwners) -> None:
-        """Take who owns which upstream."""
+        """Set which host owns which upstream."""
         self._owners = owners
         for upstream in self._upstreams.values():
-            self._take_owner(upstream)
+            self._update_owner(upstream)
             for target in upstream.targets.values():
                 target.cold.owned_from = owners.owned_from(upstream.name)
 
-    def _take_owner(self, upstream: UpstreamTargets) -> None:
+    def _update_owner(self, upstream: UpstreamTargets) -> None:
         if self._owners is not None:
             is_owned = self._owners.is_split(upstream.name)
             upstream.owned_from = self._owners.split_since if is_owned else None
-            upstream.is_owned_here = self._owners.owned_from(upstream.name) is not None
+            upstream.is_owner = self._owners.owned_from(upstream.name) is not None
 
-    def _take_cold_terms(self, upstream: UpstreamTargets, target: Target) -> None:
+    def _update_cold_limits(self, upstream: UpstreamTargets, target: Target) -> None:
         target.cold_span = upstream.cold_span
-        target.cold.allowed = upstream.cold_allowed
+        target.cold.allowed = upstream.cold_rate_limit
         if self._owners is not None:
             target.cold.owned_from = self._owners.owned_from(upstream.name)
 
-    def connection_share(self, upstream: UpstreamTargets) -> int:
-        """Return how many connections to each of its servers this host may hold."""
+    def connections_per_server(self, upstream: UpstreamTargets) -> int:
+        """Return how many connections to each server of an upstream this host may hold."""
         return max(1, upstream.usable_connections // self._connecting_hosts)
 
     def usable_connections(self) -> int:
         """Return how many connections all hosts together may hold to any server."""
         limits = [one.max_connections for one in self._upstreams.values()]
-        return usable(min(limits, default=DEFAULT_MAX_CONNECTIONS))
+        return connection_capacity(min(limits, default=DEFAULT_MAX_CONNECTIONS))
 
     def connection_shares(self) -> dict[str, int]:
         """Return the connections that this host may hold, by server id."""
         return {
-            server_id: self.connection_share(upstream)
+            server_id: self.connections_per_server(upstream)
             for upstream in self._upstreams.values()
             for server_id in upstream.targets
         }
 
-    def _share_out(self, upstream: UpstreamTargets) -> None:
-        share = self.connection_share(upstream)
+    def _update_connection_shares(self, upstream: UpstreamTargets) -> None:
+        share = self.connections_per_server(upstream)
         for target in upstream.targets.values():
             target.set_share(share)
 
     def set_evacuated(self, zones: Iterable[str], now: Millis) -> None:
-        """Take the availability zones whose servers get nothing from now on."""
+        """Set the availability zones whose servers get nothing from now on."""
         before = self._evacuated
         self._evacuated = frozenset(zones)
         for upstream in self._upstreams.values():
             for target in upstream.targets.values():
                 if target.zone in before ^ self._evacuated:
-                    self._take_evacuated(target, now)
+                    self._update_evacuated(target, now)
 
-    def _take_evacuated(self, target: Target, now: Millis) -> None:
+    def _update_evacuated(self, target: Target, now: Millis) -> None:
         if target.zone in self._evacuated:
             target.leaving.add(EVACUATED_SOURCE)
             return
         target.leaving.discard(EVACUATED_SOURCE)
-        # Without requests its servers may have become cold, which the list tells a moment later.
-        target.may_be_cold(now)
+        # Without requests its servers may have become cold, which the list shows a moment later.
+        target.assume_cold(now)
 
     def update(self, records: Iterable[ServerRecord], now: Millis) -> None:
-        """Take a newer list of all servers.
+        """Replace the list of all servers.
 
         Args:
             records: Every server that is listed.
@@ -203,14 +203,14 @@
             target = known.get(record.server_id)
             if target is None:
                 target = self._add(upstream, record, now)
-            self._take_draining(target, record.draining)
-            target.take_warm_up(record.warm_up, now)
+            self._update_draining(target, record.draining)
+            target.update_warm_up(record.warm_up, now)
         listed = {record.server_id for record in records}
         for server_id in [server_id for server_id in known if server_id not in listed]:
             known.pop(server_id).leaving.add(LIST_SOURCE)
             self._changes.append(ServerStateChange(server_id, upstream.name, "gone", LIST_SOURCE))
 
-    def _take_draining(self, target: Target, draining: bool) -> None:
+    def _update_draining(self, target: Target, draining: bool) -> None:
         if draining == (LIST_SOURCE in target.leaving):
             return
         if draining:
@@ -223,7 +223,7 @@
         )
 
     def take_changes(self) -> list[ServerStateChange]:
-        """Return what changed since this was last asked."""
+        """Return the changes since the last call."""
         changes = list(self._changes)
         self._changes.clear()
         return changes
@@ -238,8 +238,8 @@
             upstream.max_connections,
         )
         target = Target(upstream.name, server, upstream.latencies, self.policy)
-        self._take_cold_terms(upstream, target)
-        target.set_share(self.connection_share(upstream))
+        self._update_cold_limits(upstream, target)
+        target.set_share(self.connections_per_server(upstream))
         if record.zone in self._evacuated:
             target.leaving.add(EVACUATED_SOURCE)
         upstream.targets[record.server_id] = target
@@ -259,33 +259,32 @@
                     counts["doubtful" if target.doubtful(now) else "usable"] += 1
         return counts
 
-    # Which one is asked
+    # Choice of a server
 
     def count_usable(self, name: str, now: Millis) -> int:
-        """Return how many servers of an upstream could be asked now."""
+        """Return how many servers of an upstream could be used now."""
         return sum(1 for one in self.upstream(name).targets.values() if not one.barred(now))
 
-    def choose_sound(
+    def choose_healthy(
         self,
         name: str,
         excluded: Container[str],
         now: Millis,
         only: Container[str] | None = None,
     ) -> Target | None:
-        """Return a server that nothing speaks against, or None.
+        """Return the best server if it is healthy, or None.
 
-        A hedge that goes to a server which was ejected, or stands still itself, only uses up the
-        budget.
+        A hedge that goes to a server which was ejected or is stalled only uses up the budget.
         """
         target = self.choose(name, excluded, now, only)
-        if target is None or target.doubtful(now) or target.stands_still(now):
+        if target is None or target.doubtful(now) or target.is_stalled(now):
             return None
         return target
 
     def agreed_servers(self, name: str, count: int, zone: str) -> frozenset[str] | None:
-        """Return the servers that hosts ask which ask for the same shard one after the other.
+        """Return the servers to which every host sends its queries of the same shard.
 
-        Every host works out the same from the same list of servers.
+        Every host computes the same result from the same list of servers.
 
         Args:
             name: The upstream.
@@ -293,7 +292,7 @@
             zone: The availability zone of the host that owns the shard.
 
         Returns:
-            Their ids; None if there are no more servers than that which stay.
+            Their ids; None if no more servers than that are staying.
         """
         listed = self.upstream(name).targets
         targets = {server_id: one for server_id, one in listed.items() if not one.leaving}
@@ -312,29 +311,29 @@
     ) -> Target | None:
         """Return the server of an upstream that is likely to answer first, or None.
 
-        Servers that seem to stand still are asked only if there is no other.
+        Servers that seem to be stalled are used only if there is no other.
 
         Args:
             name: The upstream.
-            excluded: Ids of servers that are not to be asked.
+            excluded: Ids of servers that must not be used.
             now: The time.
-            only: Ids of the only servers that may be asked; None for all.
+            only: Ids of the only servers that may be used; None for all.
         """
         upstream = self.upstream(name)
         targets = [
             one for one in upstream.targets.values() if only is None or one.server_id in only
         ]
-        moving = [one for one in targets if not one.stands_still(now)]
+        not_stalled = [one for one in targets if not one.is_stalled(now)]
         cost = self.policy.zone_cost_ms
-        # A part that comes a little later is as good, as long as it is in when the answer is due;
-        # what crosses between zones is the largest part of a request's cost.
+        # A slightly later part is as good, as long as it arrives before the answer is due; traffic
+        # between zones is the largest part of a request's cost.
         policy = self.policy
         is_owned = upstream.owned_from is not None
         factor = policy.owner_near_factor if is_owned else policy.near_factor
         near_enough = factor * upstream.latencies.median
-        for among in (moving, targets):
+        for candidates in (not_stalled, targets):
             found = choose_replica(
-                among,
+                candidates,
                 excluded,
                 self._zone,
                 cost,
@@ -351,31 +350,35 @@
     def budget_share(self, name: str, now: Millis) -> BudgetShare:
         """Return what this host may use of an upstream's budget."""
         upstream = self.upstream(name)
-        part = self._constant_part
-        if upstream.owned_from is not None and now >= upstream.owned_from + self._terms.window:
-            # Until then, requests count that other hosts sent before one host asked for all.
-            part = self._owned_parts.get(upstream.is_owned_here, part)
-        return BudgetShare(self._terms.ratio, self._terms.constant * part)
+        part = self._constant_fraction
+        if (
+            upstream.owned_from is not None
+            and now >= upstream.owned_from + self._budget_limits.window
+        ):
+            # Before that, the window holds requests sent by other hosts while they all queried the
+            # upstream.
+            part = self._owner_fractions.get(upstream.is_owner, part)
+        return BudgetShare(self._budget_limits.ratio, self._budget_limits.constant * part)
 
     def count_first(self, name: str, now: Millis) -> None:
-        """Count a request that goes to an upstream."""
+        """Count a request to an upstream, without its retries and hedges."""
         self.upstream(name).budget.count_first(now)
 
     def spend(self, name: str, now: Millis) -> bool:
-        """Take one extra request to an upstream out of the budget; False if there is none."""
+        """Charge one additional request to an upstream; return False if its budget is exhausted."""
         return self.upstream(name).budget.spend(self.budget_share(name, now), now)
 
-    def budget_level(self, name: str, now: Millis) -> float:
-        """Return how much of an upstream's budget is left, between 0 and 1."""
-        return self.upstream(name).budget.level(self.budget_share(name, now), now)
+    def remaining_budget(self, name: str, now: Millis) -> float:
+        """Return the fraction of an upstream's budget that is left, between 0 and 1."""
+        return self.upstream(name).budget.remaining_fraction(self.budget_share(name, now), now)
 
-    # What was seen
+    # Observations
 
     def route_latencies(self, route: str) -> LatencyHistogram:
-        """Return how long the servers take for the requests of a route, for each shard alone.
+        """Return the latencies of a route's requests to servers, for each shard alone.
 
-        Requests of different routes go to the same servers and differ in their work; by the
-        latencies of all of them, a light request's late shard would be noticed too late.
+        Requests of different routes go to the same servers and differ in their work. Judged by the
+        latencies of all of them, a late shard of a light request would be noticed too late.
         """
         known = self._route_latencies.get(route)
         if known is None:
@@ -384,25 +387,25 @@
         return known
 
     def retain_routes(self, names: Container[str]) -> None:
-        """Forget what was seen of routes that are no more."""
+        """Drop the latencies of routes that no longer exist."""
         for name in [name for name in self._route_latencies if name not in names]:
             del self._route_latencies[name]
 
     def record_sent(self, target: Target, attempt: int, now: Millis) -> None:
-        """Count a request as out at a server."""
+        """Record that a request was sent to a server."""
         self._sends += 1
         target.in_flight += 1
-        target.cold.count(now)
+        target.cold.count_request(now)
         target.outstanding[attempt] = now
 
     def take_sends(self) -> int:
-        """Return how many requests were sent since this was last asked."""
+        """Return how many requests were sent since the last call."""
         sends = self._sends
         self._sends = 0
         return sends
 
     def record_end(self, target: Target, attempt: int) -> Millis | None:
-        """Count a request as no longer out; return when it was sent, None if it was not out."""
+        """Mark a request as no longer in flight; return when it was sent, None if it was not."""
         sent_at = target.outstanding.pop(attempt, None)
         if sent_at is not None:
             target.in_flight -= 1
@@ -411,32 +414,33 @@
     def record_answer(
         self, target: Target, span: Millis, load: LoadReport | None, now: Millis
     ) -> None:
-        """Take note of an answer and how long it took."""
+        """Record an answer and its latency."""
         target.answered_at = now
-        target.count_outcome(False, now)
+        target.record_outcome(False, now)
         target.saw_answer(span, load, now)
         target.typical.record(span)
 
     def record_abandoned(self, target: Target, sent_at: Millis, now: Millis) -> None:
-        """Take note of a request that was given up before its answer came.
+        """Record a request that was abandoned before its answer arrived.
 
-        A server that has gone dark resets nothing: each request to it just waits, a second one is
-        sent elsewhere, and the first is given up. Without this it would look idle, and be asked
-        again and again, until the platform's list drops it some seconds later.
+        A server that stops responding resets no connection: each request to it just waits, a second
+        one is sent elsewhere, and the first is abandoned. Without this record it would look idle
+        and be chosen again and again, until the platform's list drops it some seconds later.
         """
         target.saw_latency(now - sent_at, now)
-        if now - sent_at >= SILENT_AFTER and target.answered_at < sent_at:
-            # Once its ejection is over, a dark server of the host's own zone would be asked first
-            # again and again; as a fault, its silence sends the next requests elsewhere.
-            target.count_outcome(True, now)
+        if now - sent_at >= SILENCE_LIMIT and target.answered_at < sent_at:
+            # Once its ejection ends, an unresponsive server of the host's own zone would be chosen
+            # first again and again; counted as a fault, its silence sends the next requests
+            # elsewhere.
+            target.record_outcome(True, now)
             target.failures = max(target.failures, self.policy.eject_failures - 1)
             self._eject_after_failures(target, AttemptFault.SILENT, now)
 
     def record_failure(
         self, target: Target, fault: AttemptFault, retry_after: Millis | None, now: Millis
     ) -> None:
-        """Take note of a request that came to nothing."""
-        target.count_outcome(True, now)
+        """Record a request that failed."""
+        target.record_outcome(True, now)
         match fault:
             case AttemptFault.SHED:
                 target.saw_shed(retry_after, now)
@@ -451,12 +455,13 @@
             return
         others = self.upstream(target.upstream).targets.values()
         ejected = sum(1 for one in others if one is not target and now < one.ejected_until)
-        # Faults of the network look like faults of every server at once. Without this bound they
-        # would empty an upstream that is well, seen as refusals with all its servers idle.
+        # Network faults look like faults of every server at once. Without this limit they would
+        # eject all servers of a healthy upstream, and requests would be refused while its servers
+        # are idle.
         if ejected + 1 > self.policy.max_ejected_share * len(others):
             return
         target.eject(now)
         if fault in (AttemptFault.NOT_SENT, AttemptFault.SILENT):
-            target.may_come_back_cold(now)
+            target.expect_cold_restart(now)
         why = f"{fault}, {target.failures} in a row"
         self._changes.append(ServerStateChange(target.server_id, target.upstream, "ejected", why))
--- a/src/alderhatch/core/forwarding/top_k.py
+++ b/src/alderhatch/core/forwarding/top_k.py
@@ -12,9 +12,8 @@
     """Return the greatest records of all parts, greatest first, compared byte by byte.
 
     Args:
-        parts: The shards' answers: records of 16 bytes in any order. A rest that is shorter is no
-            record.
-        count: How many records are wanted; equal ones all count.
+        parts: The shards' answers: records of 16 bytes in any order. A shorter rest is ignored.
+        count: How many records are wanted; equal records all count.
     """
     records = (
         part[start : start + RECORD_BYTES]
