--- a/features/steps/caller_hosts_steps.py
+++ b/features/steps/caller_hosts_steps.py
@@ -93,11 +93,11 @@
     " connections"
 )
 def step_node(context, count, most):
-    context.beliefs = node_before_servers(context, "host-0", most)
+    context.beliefs = node_with_servers(context, "host-0", most)
     context.beliefs.take_view(view_of(count))
 
 
-def node_before_servers(context, name, most):
+def node_with_servers(context, name, most):
     context.clock = ManualClock(1000.0)
     pool = ConnectionPool(0, spares=False)
     pool._clock = context.clock
@@ -138,7 +138,7 @@
 @given('a node "{name}" that knows {count:d} hosts "{names}" from its last leader')
 def step_told(context, name, count, names):
     assert len(names.split()) == count
-    context.beliefs = node_before_servers(context, name, FOR_FOUR_HOSTS)
+    context.beliefs = node_with_servers(context, name, FOR_FOUR_HOSTS)
     step_view(context, names)
 
 
--- a/features/steps/forwarding_load_steps.py
+++ b/features/steps/forwarding_load_steps.py
@@ -66,7 +66,7 @@
     context.seen = {}
     for second in (begin + 2, end):
         context.model.at(second * SECOND, lambda second=second: note_arrivals(context, second))
-    change_between(context.model, one_of_each(context.model, count), begin, end, "mode", "dark")
+    change_between(context.model, one_of_each(context.model, count), begin, end, "mode", "silent")
 
 
 def note_arrivals(context, second):
--- a/features/steps/forwarding_run_steps.py
+++ b/features/steps/forwarding_run_steps.py
@@ -52,7 +52,7 @@
         case "refuses it without a run":
             server.shed_share = 1.0
         case "has gone dark":
-            server.mode = "dark"
+            server.mode = "silent"
         case _:
             raise AssertionError(trouble)
 
@@ -115,7 +115,7 @@
 def step_shards_dark(context, count):
     for name in SHARDS[:count]:
         for index in range(2):
-            context.model.servers[f"{name}-{index}"].mode = "dark"
+            context.model.servers[f"{name}-{index}"].mode = "silent"
 
 
 @given("3 shards answer after 400, 500 and 1500 ms")
@@ -207,7 +207,7 @@
         assert found == int(row["parts"]), (row, found)
 
 
-MODES = st.sampled_from(["well", "lost", "failing", "dark", "shed"])
+MODES = st.sampled_from(["well", "lost", "failing", "silent", "shed"])
 
 
 def apply_mode(server, mode):
@@ -233,7 +233,7 @@
         if isinstance(outcome, NotRun):
             assert runs == 0, modes
             # A server that is dark may have run it; nobody knows.
-            assert not any(one.mode == "dark" and one.arrivals for one in model.servers.values())
+            assert not any(one.mode == "silent" and one.arrivals for one in model.servers.values())
 
     check()
 
--- a/features/steps/hand_over_steps.py
+++ b/features/steps/hand_over_steps.py
@@ -30,7 +30,7 @@
 )
 from alderhatch.node.hand_over_server import HandOverServer
 from alderhatch.node.tier_messages import ServerNews, Standing
-from features.steps.caller_hosts_steps import node_before_servers
+from features.steps.caller_hosts_steps import node_with_servers
 from features.steps.tier_size_steps import played
 from features.support.tier_hosts import server_list
 
@@ -461,7 +461,7 @@
 
 @given("a host that stands by with configuration {own:d}, for which another one served by {seen:d}")
 def step_versions(context, own, seen):
-    context.beliefs = node_before_servers(context, "me", 20)
+    context.beliefs = node_with_servers(context, "me", 20)
     context.beliefs.stored = StoredConfiguration(own, b"")
     context.beliefs.take_standing(True)
     context.beliefs.saw_version(seen)
--- a/features/steps/late_crash_steps.py
+++ b/features/steps/late_crash_steps.py
@@ -6,7 +6,7 @@
 from alderhatch.core.crash_watch import CrashWatch
 from alderhatch.core.entry_events import AttemptFault
 from alderhatch.core.forwarding.crash_counter import CRASH_RETENTION, CrashCounter
-from features.steps.caller_hosts_steps import UPSTREAM, node_before_servers
+from features.steps.caller_hosts_steps import UPSTREAM, node_with_servers
 
 BODY = "a body"
 SERVERS = ("server-1", "server-2")
@@ -42,7 +42,7 @@
 
 @given("a host that has told its leader of a crash, and a leader that never heard of it")
 def step_told(context):
-    host = context.beliefs = node_before_servers(context, "host-0", 28)
+    host = context.beliefs = node_with_servers(context, "host-0", 28)
     (target,) = host.table.upstream(UPSTREAM).targets.values()
     host.saw_attempt(BODY, target, AttemptFault.LOST, context.clock.now())
     host.saw_attempt(BODY, target, AttemptFault.NOT_SENT, context.clock.now())
--- a/features/steps/log_output_steps.py
+++ b/features/steps/log_output_steps.py
@@ -255,7 +255,7 @@
         case "shards never answer":
             for number in range(4):
                 for index in range(2):
-                    model.servers[f"shard{number:02}-{index}"].mode = "dark"
+                    model.servers[f"shard{number:02}-{index}"].mode = "silent"
             route = scatter_route([f"shard{number:02}" for number in range(20)])
         case _:
             raise AssertionError(cause)
--- a/features/support/forward_model.py
+++ b/features/support/forward_model.py
@@ -65,7 +65,7 @@
     def take(self, now):
         """Return (when the answer leaves, fault or None); None for no answer at all."""
         self.arrivals += 1
-        if self.mode == "dark":
+        if self.mode == "silent":
             return None
         if self.mode == "lost":
             self.runs += 1
