--- a/features/steps/caller_hosts_steps.py
+++ b/features/steps/caller_hosts_steps.py
@@ -15,8 +15,8 @@
 from alderhatch.node.tier_messages import TierView
 from alderhatch.platform.settings import POLICY
 
-REPORT_EVERY = 500.0
-TERMS = BudgetLimits(0.2, 60.0, 10_000.0)
+REPORT_INTERVAL_MS = 500.0
+BUDGET_LIMITS = BudgetLimits(0.2, 60.0, 10_000.0)
 UPSTREAM = "shard-a"
 
 
@@ -55,7 +55,7 @@
     assert kinds["weak"] == weak, kinds
 
 
-@then("no availability zone has over one strong host more than another")
+@then("the numbers of strong hosts in two availability zones differ by at most one")
 def step_spread(context):
     zones = {host.zone for host in context.hosts}
     strong = Counter(host.zone for host in context.chosen if host.name.startswith("strong"))
@@ -72,9 +72,9 @@
 
 @when("they send {rate:d} requests a second for {seconds:d} seconds")
 def step_demand(context, rate, seconds):
-    for _ in range(int(seconds * 1000 / REPORT_EVERY)):
-        context.now += REPORT_EVERY
-        context.demand.count(int(rate * REPORT_EVERY / 1000), context.now)
+    for _ in range(int(seconds * 1000 / REPORT_INTERVAL_MS)):
+        context.now += REPORT_INTERVAL_MS
+        context.demand.count(int(rate * REPORT_INTERVAL_MS / 1000), context.now)
 
 
 @then("{cores:d} cores are needed")
@@ -89,20 +89,20 @@
 
 
 @given(
-    "a node that knows {count:d} hosts of equal strength before servers that accept {most:d}"
-    " connections"
+    "a node that knows {count:d} hosts of equal strength and servers that accept"
+    " {max_connections:d} connections"
 )
-def step_node(context, count, most):
-    context.beliefs = node_with_servers(context, "host-0", most)
-    context.beliefs.take_view(view_of(count))
+def step_node(context, count, max_connections):
+    context.state = node_with_servers(context, "host-0", max_connections)
+    context.state.take_view(view_of(count))
 
 
-def node_with_servers(context, name, most):
+def node_with_servers(context, name, max_connections):
     context.clock = ManualClock(1000.0)
     pool = ConnectionPool(0, spares=False)
     pool._clock = context.clock
-    node = NodeState(name, "zone-0", None, pool, TERMS, POLICY, context.clock, Random(1))
-    node.table.set_max_connections({UPSTREAM: most})
+    node = NodeState(name, "zone-0", None, pool, BUDGET_LIMITS, POLICY, context.clock, Random(1))
+    node.table.set_max_connections({UPSTREAM: max_connections})
     server = ServerRecord("i-1", UPSTREAM, "127.0.0.1", 1, "zone-0", 2, False)
     node.table.update([server], 0.0)
     return node
@@ -111,23 +111,23 @@
 @when("nothing changes for {seconds:d} seconds, and then one host is lost")
 def step_lost(context, seconds):
     context.clock.advance(seconds * SECOND)
-    context.beliefs.take_view(view_of(len(context.beliefs.hosts) - 1))
+    context.state.take_view(view_of(len(context.state.hosts) - 1))
 
 
-@when("{seconds:d} seconds later the view is told again")
+@when("{seconds:d} seconds later the same view arrives again")
 def step_later(context, seconds):
     context.clock.advance(seconds * SECOND)
-    context.beliefs.take_view(view_of(len(context.beliefs.hosts)))
+    context.state.take_view(view_of(len(context.state.hosts)))
 
 
-@then("the node holds {count:d} connections to each server at most")
+@then("the node holds at most {count:d} connections to each server")
 def step_share(context, count):
-    shares = context.beliefs.table.connection_shares()
+    shares = context.state.table.connection_shares()
     assert shares == {"i-1": count}, shares
 
 
-FOR_FOUR_HOSTS = 18
-"""So many connections that four hosts get requests, and no more than are needed."""
+CONNECTIONS_FOR_FOUR_HOSTS = 18
+"""With so many connections, exactly four hosts are active."""
 
 
 def view_by_name(names):
@@ -136,26 +136,26 @@
 
 
 @given('a node "{name}" that knows {count:d} hosts "{names}" from its last leader')
-def step_told(context, name, count, names):
+def step_known_hosts(context, name, count, names):
     assert len(names.split()) == count
-    context.beliefs = node_with_servers(context, name, FOR_FOUR_HOSTS)
+    context.state = node_with_servers(context, name, CONNECTIONS_FOR_FOUR_HOSTS)
     step_view(context, names)
 
 
-@when('a leader says that the hosts "{names}" are there')
+@when('a leader reports the hosts "{names}"')
 def step_view(context, names):
-    context.beliefs.take_view(view_by_name(names))
+    context.state.take_view(view_by_name(names))
 
 
-@when('it has tried whom it names {times:d} times, and only "{alive}" answered')
-@when('it has tried whom it names {times:d} times, and only "" answered')
-def step_tried(context, times, alive=""):
+@when('it has probed hosts {times:d} times, and only "{alive}" answered')
+@when('it has probed hosts {times:d} times, and only "" answered')
+def step_probed(context, times, alive=""):
     for _ in range(times):
-        tried = [host.name for host in context.beliefs.hosts_to_try()]
-        context.beliefs.saw_hosts({name: name in alive.split() for name in tried})
+        probed = [host.name for host in context.state.hosts_to_try()]
+        context.state.saw_hosts({name: name in alive.split() for name in probed})
 
 
-@then('it names "{names}" to callers')
-def step_names(context, names):
-    named = [host.name for host in context.beliefs.caller_hosts]
-    assert named == names.split(), named
+@then('it advertises "{names}" to callers')
+def step_advertises(context, names):
+    advertised = [host.name for host in context.state.caller_hosts]
+    assert advertised == names.split(), advertised
--- a/features/steps/cold_servers_steps.py
+++ b/features/steps/cold_servers_steps.py
@@ -29,16 +29,16 @@
 from alderhatch.node.tier_messages import TIER_MESSAGE_TYPES, TierView
 from alderhatch.node.tier_news import Duty, TierNews, Told
 from alderhatch.platform.settings import POLICY
-from features.support.forward_model import TERMS
+from features.support.forward_model import BUDGET_LIMITS
 
 UPSTREAM = "shard"
-BOUND = ColdServerLimits(1.5, 5.0)
+COLD_LIMITS = ColdServerLimits(1.5, 5.0)
 SECOND = 1000.0
-ANSWER = 5.0
+LATENCY_MS = 5.0
 
 
 class ColdTier:
-    """Hosts that ask the same three servers on a virtual clock."""
+    """Hosts that send requests to the same three servers on a virtual clock."""
 
     def __init__(self, hosts, settings):
         self.now = 10_000.0
@@ -48,15 +48,15 @@
         self.owners = {name: ShardOwners(name) for name in self.names}
         self.tables = {}
         for name in self.names:
-            table = TargetTable("zone-0", TERMS, POLICY, Random(name), BOUND)
+            table = TargetTable("zone-0", BUDGET_LIMITS, POLICY, Random(name), COLD_LIMITS)
             table.set_host_share(1 / hosts, 1)
             table.set_upstreams([settings])
             table.update(self.records, self.now)
             self.tables[name] = table
-        self.see_hosts(self.names, self.names)
+        self.update_hosts(self.names, self.names)
         self.now += 5 * SECOND
         self.arrivals = {}
-        self.asked = 0
+        self.sent_count = 0
         self.unserved = 0
 
     @staticmethod
@@ -66,112 +66,110 @@
             server_id, UPSTREAM, "127.0.0.1", 80, f"zone-{index}", 2, False, warm_up
         )
 
-    def see_hosts(self, who, hosts):
+    def update_hosts(self, who, hosts):
         records = [HostRecord(name, "zone-0", f"{name}:1", True, 1.0) for name in hosts]
         for name in who:
             if self.owners[name].set_hosts(records, self.now):
                 self.tables[name].set_owners(self.owners[name])
 
-    def list_again(self, warm_ups):
-        self.records = [self.record(index, span) for index, span in enumerate(warm_ups)]
+    def update_list(self, warm_ups):
+        self.records = [self.record(index, warm_up_ms) for index, warm_up_ms in enumerate(warm_ups)]
         for table in self.tables.values():
             table.update(self.records, self.now)
 
-    def ask(self, each, span, at_second=None):
-        """Let each host ask so often a second; each answer takes a moment."""
+    def send_requests(self, rate_each, duration_ms, after_one_second=None):
+        """Let each host send requests at a given rate; each answer takes ``LATENCY_MS``."""
         ends = []
         begin = self.now
-        step = SECOND / each / len(self.names)
-        while self.now < begin + span:
-            if at_second is not None and self.now >= begin + SECOND:
-                at_second()
-                at_second = None
-            name = self.names[self.asked % len(self.names)]
+        step = SECOND / rate_each / len(self.names)
+        while self.now < begin + duration_ms:
+            if after_one_second is not None and self.now >= begin + SECOND:
+                after_one_second()
+                after_one_second = None
+            name = self.names[self.sent_count % len(self.names)]
             for end in [one for one in ends if one[0] <= self.now]:
                 ends.remove(end)
                 self._answer(*end[1:])
-            self._ask_once(name, ends)
+            self._send_request(name, ends)
             self.now += step
         for _, *end in ends:
             self._answer(*end)
 
-    def _ask_once(self, name, ends):
+    def _send_request(self, name, ends):
         table = self.tables[name]
-        self.asked += 1
+        self.sent_count += 1
         target = table.choose(UPSTREAM, (), self.now)
         if target is None:
             assert table.count_usable(UPSTREAM, self.now) == 0
             self.unserved += 1
             return
-        table.record_sent(target, self.asked, self.now)
+        table.record_sent(target, self.sent_count, self.now)
         self.arrivals.setdefault(target.server_id, []).append(self.now + self.rng.random() * 100)
-        ends.append((self.now + ANSWER, table, target, self.asked))
+        ends.append((self.now + LATENCY_MS, table, target, self.sent_count))
 
     def _answer(self, table, target, attempt):
         sent_at = table.record_end(target, attempt)
         table.record_answer(target, self.now - sent_at, LoadReport(1, 0), self.now)
 
-    def most_in_a_second(self, server_id):
+    def max_in_a_second(self, server_id):
         times = sorted(self.arrivals.get(server_id, []))
         return max((sum(at <= one < at + SECOND for one in times) for at in times), default=0)
 
 
-@given(
-    "{hosts:d} hosts that know 3 servers of an upstream that bears {rate:d} requests a second cold"
-)
+@given("{hosts:d} hosts that know 3 servers of an upstream with cold rate {rate:d} per second")
 def step_tier(context, hosts, rate):
     context.cold = ColdTier(hosts, UpstreamSettings(UPSTREAM, 600, 3 * SECOND, float(rate)))
 
 
-@given("{hosts:d} hosts that know 3 servers of an upstream without a bound for cold servers")
+@given("{hosts:d} hosts that know 3 servers of an upstream without a limit for cold servers")
 def step_unbound(context, hosts):
     context.cold = ColdTier(hosts, UpstreamSettings(UPSTREAM, 600))
 
 
-@when("one server becomes cold for 3 seconds while each host asks {each:d} times a second")
-def step_one_cold(context, each):
-    context.each = each
-    context.cold.list_again([3 * SECOND, 0.0, 0.0])
-    context.cold.ask(each, 2900.0)
+@when("one server becomes cold for 3 seconds while each host sends {rate_each:d} requests a second")
+def step_one_cold(context, rate_each):
+    context.rate_each = rate_each
+    context.cold.update_list([3 * SECOND, 0.0, 0.0])
+    context.cold.send_requests(rate_each, 2900.0)
 
 
-@when("its owner is gone for all others but goes on after 1 second")
+@when("after 1 second the other hosts have lost its owner, which continues")
 def step_owner_gone(context):
     tier = context.cold
     owner = tier.owners[tier.names[0]].owner(UPSTREAM)
     others = [name for name in tier.names if name != owner]
     tier.now += SECOND
-    tier.list_again([2999.0, 0.0, 0.0])
-    tier.ask(context.each, 2900.0, lambda: tier.see_hosts(others, others))
+    tier.update_list([2999.0, 0.0, 0.0])
+    tier.send_requests(context.rate_each, 2900.0, lambda: tier.update_hosts(others, others))
 
 
-@when("all servers become cold for 3 seconds while each host asks {each:d} times a second")
-def step_all_cold(context, each):
-    context.cold.list_again([3 * SECOND] * 3)
-    context.cold.ask(each, 2900.0)
+@when("all servers become cold for 3 seconds while each host sends {rate_each:d} requests a second")
+def step_all_cold(context, rate_each):
+    context.cold.update_list([3 * SECOND] * 3)
+    context.cold.send_requests(rate_each, 2900.0)
 
 
-@then("it gets at most {most:d} requests in any second, and at least 1 in all")
-@then("its server gets at most {most:d} requests in any second, and at least 1 in all")
+@then("it gets at most {most:d} requests in any second, and at least 1 in total")
+@then("its server gets at most {most:d} requests in any second, and at least 1 in total")
 def step_most(context, most):
-    assert 1 <= context.cold.most_in_a_second("server-0") <= most, context.cold.arrivals
+    assert 1 <= context.cold.max_in_a_second("server-0") <= most, context.cold.arrivals
 
 
 @then("each server gets at most {most:d} requests in any second")
 def step_each_most(context, most):
     for index in range(3):
-        assert 1 <= context.cold.most_in_a_second(f"server-{index}") <= most
+        assert 1 <= context.cold.max_in_a_second(f"server-{index}") <= most
 
 
-@then("the others get the rest")
+@then("the other servers get the rest")
 def step_rest(context):
     assert context.cold.unserved == 0
 
 
-@then("whoever can't be served is told within {span:d} ms that nothing ran")
-def step_told(context, span):
+@then("requests that can't be served are refused as not run within {duration_ms:d} ms")
+def step_refused(context, duration_ms):
     assert context.cold.unserved > 0
-    assert span >= MAX_SERVER_WAIT
+    assert duration_ms >= MAX_SERVER_WAIT
 
 
 @then("every request is sent")
@@ -179,21 +177,23 @@
     assert context.cold.unserved == 0
 
 
-# The list
+# Server list
 
 
-class Standin:
-    """What the reader tells of the list goes nowhere."""
+class StubMember:
+    """A member that does not lead, so that the reader passes nothing on."""
 
     leads = False
 
 
-@given("the reader of a list with a server that started long ago")
+@given("a list reader that knows a server which started long ago")
 def step_reader(context):
     context.clock = ManualClock(1000.0)
     pool = ConnectionPool(0, spares=False)
-    state = NodeState("a", "zone-0", None, pool, TERMS, POLICY, context.clock, Random(1), BOUND)
-    context.reader = ServerListReader(None, state, Standin(), Random(1))
+    state = NodeState(
+        "a", "zone-0", None, pool, BUDGET_LIMITS, POLICY, context.clock, Random(1), COLD_LIMITS
+    )
+    context.reader = ServerListReader(None, state, StubMember(), Random(1))
     context.reader._clock = context.clock
     read(context, 0.0)
 
@@ -206,7 +206,7 @@
     return is_new
 
 
-@then("these readings are passed on or not")
+@then("these readings are passed on as shown")
 def step_readings(context):
     for row in context.table:
         context.clock.advance(float(row["after_ms"]))
@@ -217,12 +217,12 @@
 # Evacuations
 
 
-@when('zone "{zone}" is evacuated while each host asks {each:d} times a second')
-def step_evacuate(context, zone, each):
+@when('zone "{zone}" is evacuated while each host sends {rate_each:d} requests a second')
+def step_evacuate(context, zone, rate_each):
     tier = context.cold
     for table in tier.tables.values():
         table.set_evacuated([zone], tier.now)
-    tier.ask(each, 3 * SECOND)
+    tier.send_requests(rate_each, 3 * SECOND)
 
 
 @then("its server gets nothing")
@@ -231,12 +231,12 @@
     assert context.cold.unserved == 0
 
 
-@when("the evacuation is taken back and each host asks {each:d} times a second")
-def step_back(context, each):
+@when("the evacuation is cancelled and each host sends {rate_each:d} requests a second")
+def step_evacuation_cancelled(context, rate_each):
     tier = context.cold
     for table in tier.tables.values():
         table.set_evacuated([], tier.now)
-    tier.ask(each, 4 * SECOND)
+    tier.send_requests(rate_each, 4 * SECOND)
 
 
 @when('zone "{zone}" is evacuated and then a new server appears there')
@@ -247,8 +247,8 @@
         table.update([*tier.records, tier.record(0, 0.0, "new")], tier.now)
 
 
-@then("none of its servers may be asked")
-def step_none(context):
+@then("none of its servers is used")
+def step_none_used(context):
     tier = context.cold
     for table in tier.tables.values():
         assert table.count_usable(UPSTREAM, tier.now) == 2
@@ -257,7 +257,7 @@
             assert chosen is None or chosen.zone != "zone-0"
 
 
-# Orders in the log
+# Evacuation orders in the log
 
 
 @given("a configuration register with configuration 7")
@@ -289,7 +289,7 @@
     step_zones(context, "", changes)
 
 
-@then("a register restored from its snapshot says the same")
+@then("a register restored from its snapshot has the same state")
 def step_restored(context):
     other = ConfigurationRegister(lambda: None)
     other.restore(context.register.snapshot())
@@ -308,19 +308,19 @@
     assert register.orders == TierOrders(StoredConfiguration(7, b"packed"), Evacuations())
 
 
-# What hosts hear
+# Updates to hosts
 
 
-@given("a node that knows of evacuations number 5")
+@given("a node with version 5 of the evacuations")
 def step_node(context):
     clock = ManualClock(1000.0)
     pool = ConnectionPool(0, spares=False)
-    context.state = NodeState("a", "zone-0", None, pool, TERMS, POLICY, clock, Random(1))
+    context.state = NodeState("a", "zone-0", None, pool, BUDGET_LIMITS, POLICY, clock, Random(1))
     context.state.take_evacuations(Evacuations(5, ("zone-0",)))
 
 
-@then("word of number 4 and of number 5 changes nothing, and number 6 is taken")
-def step_numbers(context):
+@then("versions 4 and 5 change nothing, and version 6 is adopted")
+def step_versions(context):
     state = context.state
     for number, zones in ((4, ()), (5, ("zone-1",))):
         state.take_evacuations(Evacuations(number, zones))
@@ -329,16 +329,16 @@
     assert state.evacuations == Evacuations(6, ())
 
 
-@given("news of a configuration, servers, hosts and an evacuated zone")
-def step_news(context):
+@given("updates of a configuration, servers, hosts and an evacuated zone")
+def step_updates(context):
     context.codec = Codec(*TIER_MESSAGE_TYPES)
     context.news = TierNews(context.codec.encode)
     context.news.take_servers({"server-0": ColdTier.record(0, 0.0)})
     context.news.take_view(TierView([], [], 0.0, 1))
 
 
-@then("a host that has just joined is told of the zone first")
-def step_first(context):
+@then("a host that has just joined receives the evacuated zone first")
+def step_zone_first(context):
     orders = TierOrders(StoredConfiguration(7, b"packed"), Evacuations(3, ("zone-0",)))
     news = context.news.since(Told(), orders, Duty.SERVES)
     names = [type(context.codec.decode(one)).__name__ for one in news.messages]
--- a/features/steps/forwarding_crash_steps.py
+++ b/features/steps/forwarding_crash_steps.py
@@ -10,104 +10,106 @@
 from alderhatch.core.forwarding.crash_counter import CrashCounter
 from alderhatch.node.node_state import NodeState
 from alderhatch.platform.settings import POLICY
-from features.support.forward_model import TERMS
+from features.support.forward_model import BUDGET_LIMITS
 
 
-@given("a node's beliefs and a leader's tally")
+@given("a node's state and a leader's crash counter")
 def step_beliefs(context):
     context.clock = ManualClock()
-    context.beliefs = NodeState("host", "zone", None, None, TERMS, POLICY, context.clock, Random(1))
-    context.tally = CrashCounter()
+    context.state = NodeState(
+        "host", "zone", None, None, BUDGET_LIMITS, POLICY, context.clock, Random(1)
+    )
+    context.crash_counter = CrashCounter()
 
 
-def saw(context, request, server, fault):
+def record_attempt(context, request, server, fault):
     target = SimpleNamespace(upstream="kitchen", server_id=server)
-    context.beliefs.saw_attempt(request, target, fault, context.clock.now())
+    context.state.saw_attempt(request, target, fault, context.clock.now())
 
 
 def report(context):
-    for fingerprint, server_id in context.beliefs.take_crashes():
-        context.tally.report(fingerprint, server_id, context.clock.now())
+    for fingerprint, server_id in context.state.take_crashes():
+        context.crash_counter.report(fingerprint, server_id, context.clock.now())
 
 
 @when(
-    'request "{request}" is lost on server "{server}", which then takes no connection, '
+    'request "{request}" is lost on server "{server}", which then refuses connections, '
     "and the host reports"
 )
 def step_crash(context, request, server):
-    saw(context, request, server, AttemptFault.LOST)
+    record_attempt(context, request, server, AttemptFault.LOST)
     context.clock.advance(400.0)
-    saw(context, "other", server, AttemptFault.NOT_SENT)
+    record_attempt(context, "other", server, AttemptFault.NOT_SENT)
     report(context)
     context.clock.advance(1 * SECOND)
 
 
-@when('request "r1" meets {trouble}')
-def step_trouble(context, trouble):
-    match trouble:
-        case "two lost answers on servers that go on":
-            saw(context, "r1", "s1", AttemptFault.LOST)
-            saw(context, "r1", "s2", AttemptFault.LOST)
-        case "a lost answer and a server that takes no connection":
-            saw(context, "r1", "s1", AttemptFault.LOST)
-            saw(context, "r2", "s2", AttemptFault.NOT_SENT)
+@when('request "r1" encounters {event}')
+def step_event(context, event):
+    match event:
+        case "two lost answers on servers that keep running":
+            record_attempt(context, "r1", "s1", AttemptFault.LOST)
+            record_attempt(context, "r1", "s2", AttemptFault.LOST)
+        case "a lost answer and a server that accepts no connection":
+            record_attempt(context, "r1", "s1", AttemptFault.LOST)
+            record_attempt(context, "r2", "s2", AttemptFault.NOT_SENT)
         case "two lost servers after it was answered once":
-            saw(context, "r1", "s3", None)
+            record_attempt(context, "r1", "s3", None)
             for server in ("s1", "s2"):
-                saw(context, "r1", server, AttemptFault.LOST)
-                saw(context, "r2", server, AttemptFault.NOT_SENT)
+                record_attempt(context, "r1", server, AttemptFault.LOST)
+                record_attempt(context, "r2", server, AttemptFault.NOT_SENT)
         case "the loss of four servers at the same moment":
             for server in ("s1", "s2", "s3", "s4"):
-                saw(context, "r1", server, AttemptFault.LOST)
+                record_attempt(context, "r1", server, AttemptFault.LOST)
             for server in ("s1", "s2", "s3", "s4"):
-                saw(context, "r2", server, AttemptFault.NOT_SENT)
+                record_attempt(context, "r2", server, AttemptFault.NOT_SENT)
         case _:
-            raise AssertionError(trouble)
+            raise AssertionError(event)
     report(context)
 
 
-@then('the tally refuses "{request}" everywhere')
+@then('the crash counter refuses "{request}" everywhere')
 def step_refused_everywhere(context, request):
-    assert context.tally.refused(context.clock.now()) == [request]
+    assert context.crash_counter.refused(context.clock.now()) == [request]
 
 
-@then("the tally refuses nothing")
+@then("the crash counter refuses nothing")
 def step_refuses_nothing(context):
-    assert context.tally.refused(context.clock.now()) == []
+    assert context.crash_counter.refused(context.clock.now()) == []
 
 
 @then('the host itself refuses "r1" and not "r2"')
 def step_host_refuses(context):
-    assert context.beliefs.is_quarantined("r1")
-    assert not context.beliefs.is_quarantined("r2")
+    assert context.state.is_quarantined("r1")
+    assert not context.state.is_quarantined("r2")
 
 
 @then('the host itself refuses neither "r1" nor "r2"')
 def step_host_refuses_none(context):
-    assert not context.beliefs.is_quarantined("r1")
-    assert not context.beliefs.is_quarantined("r2")
+    assert not context.state.is_quarantined("r1")
+    assert not context.state.is_quarantined("r2")
 
 
-@then("two crashes 61 s apart refuse nothing, and a quarantine is over after 600 s")
+@then("two crashes 61 s apart cause no quarantine, and a quarantine ends after 600 s")
 def step_forgotten(context):
-    tally = context.tally
-    assert not tally.report("r1", "s1", 0.0)
-    assert not tally.report("r1", "s2", 61 * SECOND)
-    assert tally.report("r1", "s3", 62 * SECOND)
-    assert tally.refused(661 * SECOND) == ["r1"]
-    assert tally.refused(662 * SECOND) == []
+    crash_counter = context.crash_counter
+    assert not crash_counter.report("r1", "s1", 0.0)
+    assert not crash_counter.report("r1", "s2", 61 * SECOND)
+    assert crash_counter.report("r1", "s3", 62 * SECOND)
+    assert crash_counter.refused(661 * SECOND) == ["r1"]
+    assert crash_counter.refused(662 * SECOND) == []
 
 
-@when('the leader says that "{request}" is quarantined, and is heard of no more')
+@when('the leader reports that "{request}" is quarantined, and then stops responding')
 def step_told(context, request):
-    context.beliefs.take_quarantine([request])
+    context.state.take_quarantine([request])
 
 
 @then('the host refuses "{first}" and "{second}" for {held:d} s and not after {over:d} s')
 def step_lifted(context, first, second, held, over):
-    begun = context.clock.now()
+    start = context.clock.now()
     context.clock.advance(held * SECOND)
-    assert context.beliefs.is_quarantined(first) and context.beliefs.is_quarantined(second)
-    context.clock.advance(begun + over * SECOND - context.clock.now())
-    assert not context.beliefs.is_quarantined(first)
-    assert not context.beliefs.is_quarantined(second)
+    assert context.state.is_quarantined(first) and context.state.is_quarantined(second)
+    context.clock.advance(start + over * SECOND - context.clock.now())
+    assert not context.state.is_quarantined(first)
+    assert not context.state.is_quarantined(second)
--- a/features/steps/forwarding_load_steps.py
+++ b/features/steps/forwarding_load_steps.py
@@ -8,7 +8,7 @@
 
 from alderhatch.core.forwarding.outcome import Answered
 from alderhatch.core.forwarding.retry_budget import BudgetShare, RetryBudget
-from features.support.forward_model import TERMS, ForwardModel, scatter_route
+from features.support.forward_model import BUDGET_LIMITS, ForwardModel, scatter_route
 
 SECOND = 1000.0
 SHARDS = [f"shard{number:02}" for number in range(20)]
@@ -23,10 +23,10 @@
     context.rate = rate
     context.burst = (0.0, 0.0, 1.0)
     context.sent = {}
-    context.played = False
+    context.has_run = False
 
 
-def one_of_each(model, count=20):
+def one_server_per_shard(model, count=20):
     return [model.servers[f"{name}-{index % 2}"] for index, name in enumerate(SHARDS[:count])]
 
 
@@ -35,9 +35,9 @@
         for server in servers:
             setattr(server, name, new)
 
-    usual = getattr(servers[0], name)
+    usual_value = getattr(servers[0], name)
     model.at(begin * SECOND, lambda: set_to(value))
-    model.at(end * SECOND, lambda: set_to(usual))
+    model.at(end * SECOND, lambda: set_to(usual_value))
 
 
 @when(
@@ -45,10 +45,12 @@
     "from second {begin:d} to second {end:d}"
 )
 def step_shed(context, share, begin, end):
-    change_between(context.model, one_of_each(context.model), begin, end, "shed_share", share)
+    change_between(
+        context.model, one_server_per_shard(context.model), begin, end, "shed_share", share
+    )
 
 
-@when("every server pauses for {span:d} ms each {every:d} ms")
+@when("every server pauses for {span:d} ms every {every:d} ms")
 def step_pauses(context, span, every):
     model = context.model
 
@@ -60,20 +62,29 @@
         model.at(model.rng.random() * every, lambda server=server: pause(server))
 
 
-@when("{count:d} servers of different shards are dark from second {begin:d} to second {end:d}")
+@when(
+    "{count:d} servers of different shards are unresponsive from second {begin:d} to second {end:d}"
+)
 def step_dark(context, count, begin, end):
-    context.spoilt = one_of_each(context.model, count)
-    context.seen = {}
+    context.faulty = one_server_per_shard(context.model, count)
+    context.arrivals_by_second = {}
     for second in (begin + 2, end):
-        context.model.at(second * SECOND, lambda second=second: note_arrivals(context, second))
-    change_between(context.model, one_of_each(context.model, count), begin, end, "mode", "silent")
+        context.model.at(second * SECOND, lambda second=second: record_arrivals(context, second))
+    change_between(
+        context.model,
+        one_server_per_shard(context.model, count),
+        begin,
+        end,
+        "mode",
+        "silent",
+    )
 
 
-def note_arrivals(context, second):
-    context.seen[second] = sum(one.arrivals for one in context.spoilt)
+def record_arrivals(context, second):
+    context.arrivals_by_second[second] = sum(one.arrivals for one in context.faulty)
 
 
-@then("at most {share:g} of the requests to servers leave their zone without need")
+@then("at most {share:g} of the requests to servers leave their zone unnecessarily")
 def step_crossings(context, share):
     model = context.model
     assert model.needless_crossings <= share * model.sends, (model.needless_crossings, model.sends)
@@ -84,10 +95,10 @@
     "from second {begin:d} to second {end:d}"
 )
 def step_left_alone(context, share, begin, end):
-    play(context)
-    usual = context.rate * (end - begin) * len(context.spoilt) / 2
-    got = context.seen[end] - context.seen[begin]
-    assert got < share * usual, (got, usual)
+    run_traffic(context)
+    usual_requests = context.rate * (end - begin) * len(context.faulty) / 2
+    got = context.arrivals_by_second[end] - context.arrivals_by_second[begin]
+    assert got < share * usual_requests, (got, usual_requests)
 
 
 @when(
@@ -95,8 +106,8 @@
     "from second {begin:d} to second {end:d}"
 )
 def step_slow(context, count, times, begin, end):
-    servers = one_of_each(context.model, count)
-    change_between(context.model, servers, begin, end, "slow", float(times))
+    servers = one_server_per_shard(context.model, count)
+    change_between(context.model, servers, begin, end, "slowdown", float(times))
 
 
 @when("the traffic is {times:g} times the usual from second {begin:d} to second {end:d}")
@@ -104,10 +115,10 @@
     context.burst = (begin * SECOND, end * SECOND, times)
 
 
-def play(context):
-    if context.played:
+def run_traffic(context):
+    if context.has_run:
         return
-    context.played = True
+    context.has_run = True
     model = context.model
     route = scatter_route(SHARDS)
     at = 0.0
@@ -121,7 +132,7 @@
 
 
 def between(context, begin, end):
-    play(context)
+    run_traffic(context)
     chosen = {
         number: at for number, at in context.sent.items() if begin * SECOND <= at < end * SECOND
     }
@@ -154,13 +165,17 @@
     assert sum(covered) / len(covered) >= share, sum(covered) / len(covered)
 
 
-@then("the budget for extra requests is kept in every window")
+@then("the retry budget is kept in every window")
 def step_budget_kept(context):
-    play(context)
+    run_traffic(context)
     requests = len(context.sent)
     for name in SHARDS:
-        # The day is one window and a fifth: what the whole of it may have bounds every window.
-        allowed = TERMS.ratio * requests + TERMS.constant * SECONDS * SECOND / TERMS.window
+        # The run takes one window and a fifth of another; its budget as a whole bounds that of
+        # every window.
+        allowed = (
+            BUDGET_LIMITS.ratio * requests
+            + BUDGET_LIMITS.constant * SECONDS * SECOND / BUDGET_LIMITS.window
+        )
         assert context.model.extra(name, requests) <= allowed
 
 
@@ -169,31 +184,31 @@
 )
 
 
-@then("over random traffic at random hosts the shared budget is kept in every window")
+@then("over random traffic at random hosts the shared retry budget is kept in every window")
 def step_shared_budget(context):
     @for_all(TRAFFIC)
     def check(traffic):
         hosts = [RetryBudget(10_000.0) for _ in range(5)]
         share = BudgetShare(0.2, 6.0 / 5)
         now = 0.0
-        firsts, extras = [], []
+        first_times, additional_times = [], []
         for pause, host, wants_extra in traffic:
             now += pause
             if wants_extra and hosts[host].spend(share, now):
-                extras.append(now)
+                additional_times.append(now)
             elif not wants_extra:
                 hosts[host].count_first(now)
-                firsts.append(now)
-        for end in extras:
+                first_times.append(now)
+        for end in additional_times:
             begin = end - 10_000.0
-            spent = sum(1 for at in extras if begin < at <= end)
-            came = sum(1 for at in firsts if begin - 500.0 < at <= end)
+            spent = sum(1 for at in additional_times if begin < at <= end)
+            came = sum(1 for at in first_times if begin - 500.0 < at <= end)
             assert spent <= 0.2 * came + 6.0 + 1e-9, (spent, came)
 
     check()
 
 
-@then("a budget that counts requests for an hour takes no more room than after a minute")
+@then("a budget that counts requests for an hour takes no more memory than after a minute")
 def step_small(context):
     budget = RetryBudget(10_000.0)
 
--- a/features/steps/forwarding_run_steps.py
+++ b/features/steps/forwarding_run_steps.py
@@ -9,17 +9,17 @@
 from alderhatch.core.forwarding.response_lead_time import ResponseLeadTime
 from alderhatch.core.forwarding.retry_budget import BudgetLimits
 from alderhatch.core.forwarding.run_limits import min_parts
-from features.support.forward_model import TERMS, ForwardModel, scatter_route, single_route
+from features.support.forward_model import BUDGET_LIMITS, ForwardModel, scatter_route, single_route
 
 SHARDS = [f"shard{number:02}" for number in range(20)]
-FAR = 20_000.0
+LONG_AFTER_MS = 20_000.0
 NO_BUDGET = BudgetLimits(0.0, 0.0, 10_000.0)
 
 
-def kitchen(terms=TERMS):
-    model = ForwardModel(1, terms=terms)
+def kitchen(budget_limits=BUDGET_LIMITS):
+    model = ForwardModel(1, budget_limits=budget_limits)
     model.add_upstream("kitchen", 100.0, 2, 3)
-    # The faster one is asked first.
+    # The faster server is chosen first.
     model.servers["kitchen-0"].work = 50.0
     for server in model.servers.values():
         server.spread = 0.0
@@ -27,7 +27,7 @@
 
 
 def warm_up(model):
-    """Let the host learn how long requests take, and forget what the servers counted."""
+    """Let the host learn the latencies, then reset the counters of the servers."""
     for number in range(60):
         model.request(single_route("kitchen"), number * 500.0)
     model.run_until(60 * 500.0)
@@ -41,20 +41,20 @@
         table.update(changed, model.now)
 
 
-def spoil(server, trouble):
-    match trouble:
-        case "is well":
+def inject_fault(server, behavior):
+    match behavior:
+        case "is healthy":
             pass
         case "breaks the connection":
             server.mode = "lost"
-        case "answers that it failed":
+        case "answers with an error":
             server.mode = "failing"
-        case "refuses it without a run":
+        case "refuses it without running it":
             server.shed_share = 1.0
-        case "has gone dark":
+        case "does not respond":
             server.mode = "silent"
         case _:
-            raise AssertionError(trouble)
+            raise AssertionError(behavior)
 
 
 def outcome_name(outcome):
@@ -67,11 +67,11 @@
             return str(reason)
 
 
-@given('2 servers of "kitchen", of which the one asked first {trouble}')
-def step_kitchen(context, trouble):
+@given('2 servers of "kitchen", of which the first choice {behavior}')
+def step_kitchen(context, behavior):
     context.model = kitchen()
     warm_up(context.model)
-    spoil(context.model.servers["kitchen-0"], trouble)
+    inject_fault(context.model.servers["kitchen-0"], behavior)
 
 
 @given('2 servers of "kitchen" that are all leaving')
@@ -83,13 +83,13 @@
 @given('2 servers of "kitchen" that refuse every request, {state}')
 def step_kitchen_refuses(context, state):
     has_budget = state == "and there is budget"
-    model = context.model = kitchen(TERMS if has_budget else NO_BUDGET)
+    model = context.model = kitchen(BUDGET_LIMITS if has_budget else NO_BUDGET)
     warm_up(model)
     for server in model.servers.values():
         server.shed_share = 1.0
 
 
-@then("it is told within {span:d} ms that it did not run, with a time to come back")
+@then("it is refused within {span:d} ms as not run, with a retry-after time")
 def step_told_refused(context, span):
     outcome, at = context.model.results[context.number]
     assert isinstance(outcome, NotRun), outcome
@@ -111,7 +111,7 @@
     make_leaving(context.model, set(SHARDS[:count]))
 
 
-@given("all servers of {count:d} shards have gone dark")
+@given("all servers of {count:d} shards do not respond")
 def step_shards_dark(context, count):
     for name in SHARDS[:count]:
         for index in range(2):
@@ -123,7 +123,7 @@
     for name, work in zip(SHARDS, (400.0, 500.0, 1500.0), strict=False):
         for index in range(2):
             server = context.model.servers[f"{name}-{index}"]
-            server.take = lambda now, work=work: (now + work, None)
+            server.accept = lambda now, work=work: (now + work, None)
 
 
 @when('a {kind} request is forwarded to "kitchen"')
@@ -131,16 +131,16 @@
 def step_forward(context, kind):
     route = single_route("kitchen", idempotent=kind == "idempotent")
     context.number = context.model.request(route)
-    context.model.run_until(context.model.now + FAR)
+    context.model.run_until(context.model.now + LONG_AFTER_MS)
 
 
 @when("a request over all shards is forwarded")
 def step_scatter(context):
     context.number = context.model.request(scatter_route(SHARDS))
-    context.model.run_until(FAR)
+    context.model.run_until(LONG_AFTER_MS)
 
 
-@when("the same list of servers is taken again")
+@when("the same list of servers is received again")
 def step_same_list(context):
     table = context.model.tables[0]
     table.take_changes()
@@ -156,13 +156,13 @@
         table.record_failure(context.failing, AttemptFault.LOST, None, context.model.now)
 
 
-@then("it is left alone for 10 s at most")
+@then("it is ejected for at most 10 s")
 def step_left_alone_bounded(context):
     left = context.failing.ejected_until - context.model.now
     assert 0 < left <= 10_000.0, left
 
 
-@then("nothing is new for the connections")
+@then("no server state has changed")
 def step_nothing_new(context):
     assert context.changes == [], context.changes
 
@@ -175,7 +175,7 @@
     assert ran == runs, ran
 
 
-@then("it is refused as not run within {span:d} ms, with a time to come back")
+@then("it is refused as not run within {span:d} ms, with a retry-after time")
 def step_refused(context, span):
     outcome, at = context.model.results[context.number]
     assert isinstance(outcome, NotRun), outcome
@@ -200,14 +200,14 @@
     assert least <= at <= most, at
 
 
-@then("these are the least numbers of parts")
+@then("these are the minimum numbers of parts")
 def step_least(context):
     for row in context.table:
         found = min_parts(int(row["shards"]), float(row["coverage"]))
         assert found == int(row["parts"]), (row, found)
 
 
-MODES = st.sampled_from(["well", "lost", "failing", "silent", "shed"])
+MODES = st.sampled_from(["healthy", "lost", "failing", "silent", "shed"])
 
 
 def apply_mode(server, mode):
@@ -226,13 +226,13 @@
         for server, mode in zip(model.servers.values(), modes, strict=True):
             apply_mode(server, mode)
         number = model.request(single_route("kitchen", idempotent=False))
-        model.run_until(FAR)
+        model.run_until(LONG_AFTER_MS)
         outcome, _ = model.results[number]
         runs = sum(one.runs for one in model.servers.values())
         assert runs <= 1, (modes, runs)
         if isinstance(outcome, NotRun):
             assert runs == 0, modes
-            # A server that is dark may have run it; nobody knows.
+            # An unresponsive server may have run it; nobody knows.
             assert not any(one.mode == "silent" and one.arrivals for one in model.servers.values())
 
     check()
@@ -249,7 +249,7 @@
             apply_mode(server, mode)
         route = scatter_route(SHARDS[:3], max_servers=most)
         model.request(route)
-        model.run_until(FAR)
+        model.run_until(LONG_AFTER_MS)
         for name in SHARDS[:3]:
             ran = [f"{name}-{index}" for index in range(3) if model.servers[f"{name}-{index}"].runs]
             assert len(ran) <= most, (modes, most, ran)
@@ -257,19 +257,19 @@
     check()
 
 
-@given("answers of a route that were finished {spans} ms after they had to leave")
+@given("answers of a route that were finished {spans} ms after they were due")
 def step_overruns(context, spans):
-    context.own_time = ResponseLeadTime()
+    context.lead_times = ResponseLeadTime()
     for span in spans.replace(" and", ",").split(","):
-        context.own_time.record_overrun(float(span))
+        context.lead_times.record_overrun(float(span))
 
 
-@when("{count:d} answers are finished {span:d} ms after they had to leave")
+@when("{count:d} answers are finished {span:d} ms after they were due")
 def step_more_overruns(context, count, span):
     for _ in range(count):
-        context.own_time.record_overrun(float(span))
+        context.lead_times.record_overrun(float(span))
 
 
 @then("the next answer leaves {span:d} ms before its target")
 def step_own_time(context, span):
-    assert context.own_time.lead_time == span, context.own_time.lead_time
+    assert context.lead_times.lead_time == span, context.lead_times.lead_time
--- a/features/steps/gather_split_steps.py
+++ b/features/steps/gather_split_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 from hypothesis import given as for_all
-from hypothesis import settings as limits
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from alderhatch.clock import ManualClock
@@ -43,18 +43,18 @@
 from alderhatch.platform.dialect import PlatformDialect
 from alderhatch.platform.settings import POLICY
 from alderhatch.platform.wire_names import SEAL
-from features.support.forward_model import TERMS, scatter_route
+from features.support.forward_model import BUDGET_LIMITS, scatter_route
 
 SHARDS = [f"shard-{number:03}" for number in range(135)]
 DUE = 100.0
-SPLIT = POLICY._replace(split_parts=40)
+SPLIT_POLICY = POLICY._replace(split_parts=40)
 DEADLINE = 1000.0
 
 
-# Who asks for what
+# Division of a gather
 
 
-@given("{strong:d} strong and {weak:d} weak hosts that callers are sent to")
+@given("{strong:d} strong and {weak:d} weak active hosts")
 def step_hosts(context, strong, weak):
     context.hosts = [
         HostRecord(
@@ -72,7 +72,7 @@
     return owners
 
 
-@when("a gather of {parts:d} parts comes to {first}")
+@when("a gather of {parts:d} parts arrives at {first}")
 def step_gather(context, parts, first):
     index = -1 if first == "a weak host" else 0
     me = context.hosts[index].name
@@ -82,13 +82,13 @@
     )
 
 
-@when("{lost:d} of the others were lost lately, and a gather of {parts:d} parts comes to {first}")
+@when("{lost:d} of the others failed recently, and a gather of {parts:d} parts arrives at {first}")
 def step_gather_lost(context, lost, parts, first):
     context.lost = {host.name for host in context.hosts[1 : lost + 1]}
     step_gather(context, parts, first)
 
 
-@then("it is divided among {asked:d} hosts, and each part is asked for once")
+@then("it is divided among {asked:d} hosts, and each part is queried once")
 def step_divided(context, asked):
     plan = context.plan
     if plan is None:
@@ -99,10 +99,7 @@
     assert sorted(names) == sorted(context.shards)
 
 
-@then(
-    "all hosts name the same owner for each of {parts:d} shards, whatever order they know each"
-    " other in"
-)
+@then("all hosts compute the same owner for each of {parts:d} shards, in any order of" " the hosts")
 def step_same_owner(context, parts):
     tables = [
         owners_at(host.name, context.hosts[index:] + context.hosts[:index])
@@ -120,7 +117,7 @@
     assert {name: owned.count(name) for name in strong} == dict.fromkeys(strong, even)
 
 
-@when("one of the strong hosts goes")
+@when("one of the strong hosts leaves")
 def step_one_goes(context):
     context.before = context.owners
     context.hosts.pop(0)
@@ -135,8 +132,8 @@
 # One gather
 
 
-class Model:
-    """A gather of 9 parts over 3 hosts on a virtual clock; ``brings`` says what comes when."""
+class GatherModel:
+    """A gather of 9 parts over 3 hosts on a virtual clock; ``behaviors`` sets how hosts respond."""
 
     def __init__(self):
         hosts = [HostRecord(f"host-{index}", "zone", "a:1", True, 1.0) for index in range(3)]
@@ -148,13 +145,13 @@
         self.now = 0.0
         self.events = []
         self.order = count()
-        self.asked_here = []
+        self.queried_here = []
         self.repeats = []
         self.outcome = None
         self.ended_at = None
-        self.gets_here = True
-        self.gives_up_here = False
-        self.trouble = {}
+        self.returns_locally = True
+        self.ends_locally = False
+        self.behaviors = {}
 
     def at(self, when, event, *args):
         heapq.heappush(self.events, (when, next(self.order), event, args))
@@ -163,15 +160,15 @@
         for effect in effects:
             match effect:
                 case QueryHost(number, share):
-                    self.begin(number, share.host.name, share.shards)
+                    self.start_share(number, share.host.name, share.shards)
                 case QueryLocally(number, shards, is_repeat):
                     is_own = shards[0].startswith("0")
                     if not is_own:
-                        self.asked_here += shards
+                        self.queried_here += shards
                         self.repeats.append(is_repeat)
-                    if not is_own and self.gives_up_here:
+                    if not is_own and self.ends_locally:
                         self.at(self.now + 1.0, self.end, number)
-                    if is_own or self.gets_here:
+                    if is_own or self.returns_locally:
                         span = 10.0 if is_own else 5.0
                         self.at(self.now + span, self.parts, number, shards)
                         self.at(self.now + span, self.end, number)
@@ -181,9 +178,9 @@
                     self.outcome = outcome
                     self.ended_at = self.now
 
-    def begin(self, number, host, shards):
-        if host in self.trouble:
-            self.trouble[host](number, shards)
+    def start_share(self, number, host, shards):
+        if host in self.behaviors:
+            self.behaviors[host](number, shards)
             return
         self.at(10.0, self.parts, number, shards)
         self.at(10.0, self.end, number)
@@ -201,7 +198,7 @@
     def lost(self, number, may_have_run):
         return self.run.on_lost(number, may_have_run, self.now)
 
-    def play(self):
+    def run_to_end(self):
         self.take(self.run.start(0.0))
         while self.outcome is None:
             due = self.run.next_wake
@@ -215,30 +212,30 @@
 
 @given("a gather of 9 parts over 3 hosts")
 def step_model(context):
-    context.model = Model()
+    context.model = GatherModel()
 
 
-@when("the second host {trouble}")
-def step_trouble(context, trouble):
+@when("the second host {behavior}")
+def step_behavior(context, behavior):
     model = context.model
 
-    def brings(first, rest_at=None, ends=True):
-        def begin(number, shards):
+    def returns(first, rest_at=None, ends=True):
+        def start_share(number, shards):
             model.at(10.0, model.parts, number, shards[:first])
             if rest_at is not None:
                 model.at(rest_at, model.parts, number, shards[first:])
             if ends:
                 model.at(rest_at or 10.0, model.end, number)
 
-        return begin
+        return start_share
 
     def lost(at, first, may_have_run):
-        def begin(number, shards):
+        def start_share(number, shards):
             if first:
                 model.at(at / 2, model.parts, number, shards[:first])
             model.at(at, model.lost, number, may_have_run)
 
-        return begin
+        return start_share
 
     def late(number, shards):
         model.at(70.0, model.parts, number, shards)
@@ -261,35 +258,35 @@
         model.at(5.0, model.parts, number, shards[:1])
         model.at(10.0, model.parts, number, shards[:1])
 
-    model.trouble["host-1"] = {
-        "brings all at once": brings(3),
-        "brings 2 at once and 1 at 60 ms": brings(2, 60.0),
-        "brings 2 at once and 1 at 300 ms": brings(2, 300.0),
-        "brings 1 at once and 2 at 300 ms": brings(1, 300.0),
-        "brings 2 at once and ends": brings(2),
-        "brings 1 at once and ends": brings(1),
+    model.behaviors["host-1"] = {
+        "returns all at once": returns(3),
+        "returns 2 at once and 1 at 60 ms": returns(2, 60.0),
+        "returns 2 at once and 1 at 300 ms": returns(2, 300.0),
+        "returns 1 at once and 2 at 300 ms": returns(1, 300.0),
+        "returns 2 at once and ends": returns(2),
+        "returns 1 at once and ends": returns(1),
         "is lost at once": lost(10.0, 0, True),
-        "is lost at 30 ms with 1 brought": lost(30.0, 1, True),
-        "is lost with 1 that none may ask": lost_with_spent,
+        "is lost at 30 ms with 1 returned": lost(30.0, 1, True),
+        "is lost with 1 that others may not query": lost_with_spent,
         "refuses at once": lost(10.0, 0, False),
-        "says nothing": lambda number, shards: None,
-        "brings parts of others": of_others,
-        "brings a part twice": twice,
-        "says nothing and brings all late": late,
-        "says nothing and is lost": late_lost,
-        "says nothing and brings all at 50 ms": busy,
-    }[trouble]
+        "is silent": lambda number, shards: None,
+        "returns parts of others": of_others,
+        "returns a part twice": twice,
+        "is silent and returns all late": late,
+        "is silent and is lost": late_lost,
+        "is silent and returns all at 50 ms": busy,
+    }[behavior]
 
 
-@when("this host {here} what it then asks for itself")
+@when("this host {here} what it then queries itself")
 def step_here(context, here):
-    context.model.gets_here = here == "gets"
-    context.model.gives_up_here = here == "gives up"
-    context.model.play()
+    context.model.returns_locally = here == "gets"
+    context.model.ends_locally = here == "gives up"
+    context.model.run_to_end()
 
 
 @then(
-    "it ends as {outcome} at {at:d} ms, and this host has asked for {asked:d} parts of the other"
+    "it ends as {outcome} at {at:d} ms, and this host has queried {asked:d} parts of the other"
     " one"
 )
 def step_ends(context, outcome, at, asked):
@@ -303,18 +300,18 @@
             found = str(reason)
         case other:
             found = repr(other)
-    assert (found, model.ended_at, len(model.asked_here)) == (outcome, at, asked), (
+    assert (found, model.ended_at, len(model.queried_here)) == (outcome, at, asked), (
         found,
         model.ended_at,
-        model.asked_here,
+        model.queried_here,
     )
 
 
-@given("a host among 6 before 90 shards of which {gone:d} have no server left")
-def step_before(context, gone):
+@given("a host among 6 with 90 shards of which {gone:d} have no server left")
+def step_without_servers(context, gone):
     clock = ManualClock(1000.0)
     pool = ConnectionPool(0, spares=False)
-    state = NodeState("host-0", "zone-0", None, pool, TERMS, SPLIT, clock, Random(1))
+    state = NodeState("host-0", "zone-0", None, pool, BUDGET_LIMITS, SPLIT_POLICY, clock, Random(1))
     shards = SHARDS[:90]
     state.table.update(
         (ServerRecord(f"i-{name}", name, "127.0.0.1", 80, "zone-0", 2, False) for name in shards),
@@ -335,15 +332,15 @@
 
 
 @then("it {does} a gather that needs 86 of them")
-def step_does(context, does):
+def step_splits(context, does):
     times = RunTimes(1000.0, 1100.0, 2000.0)
     gather = context.gathers.begin(SimpleNamespace(http=None), context.route, times)
     assert (gather is not None) == (does == "splits")
 
 
-@then("gathers of any hosts and any order of {steps:d} events keep these promises")
+@then("gathers of any hosts and any order of {steps:d} events satisfy these rules")
 def step_any_order(context, steps):
-    @limits(max_examples=steps, deadline=None, derandomize=True)
+    @hypothesis_settings(max_examples=steps, deadline=None, derandomize=True)
     @for_all(st.data())
     def check(data):
         hosts = data.draw(st.integers(0, 4))
@@ -361,12 +358,12 @@
         total = own + sum(len(share.shards) for share in plan.others)
         least = data.draw(st.integers(1, total))
         run = SplitRun(plan, least, RunTimes(0.0, DUE, DEADLINE))
-        play_any(data, run, total, least)
+        run_random_events(data, run, total, least)
 
     check()
 
 
-def play_any(data, run, total, least):
+def run_random_events(data, run, total, least):
     shares = {}
     finished = []
     now = 0.0
@@ -408,16 +405,16 @@
         assert len(names) + outcome.missing == total
 
 
-# Servers that hosts agree on
+# Agreed servers
 
 
 def table_of(records, name="zone-0"):
-    table = TargetTable(name, TERMS, POLICY, Random(1))
+    table = TargetTable(name, BUDGET_LIMITS, POLICY, Random(1))
     table.update(records, 0.0)
     return table
 
 
-@given("3 servers in 3 zones of each of 40 shards, known in any order")
+@given("3 servers in 3 zones of each of 40 shards, listed in any order")
 def step_servers(context):
     context.records = [
         ServerRecord(f"i-{name}-{zone}", name, "127.0.0.1", 80, f"zone-{zone}", 2, False)
@@ -456,20 +453,20 @@
     context.servers.set_max_connections({"shard": 60})
 
 
-@when("of its servers {out} are {how}")
-def step_out(context, out, how):
+@when("of its servers {which} are {how}")
+def step_unusable(context, which, how):
     is_barred = how == "leaving"
-    for name in [] if out == "none" else out.split(" and "):
+    for name in [] if which == "none" else which.split(" and "):
         target = context.servers.upstream("shard").targets[name]
         target.saw_draining(0.0) if is_barred else target.eject(0.0)
 
 
-@then('a share that is {is_heard} asks "{first}" first, and {may} be asked for by another host')
-def step_first(context, is_heard, first, may):
+@then('a share that is {known} is sent to "{first}" first, and {may} be queried by another host')
+def step_first(context, known, first, may):
     rules = ShareRules({"shard": frozenset("ab")}, False, DUE)
     times = RunTimes(0.0, DEADLINE, DEADLINE)
     run = ForwardRun(scatter_route(["shard"]), ("shard",), times, context.servers, rules)
-    run.may_use_other_servers = is_heard == "heard of"
+    run.may_use_other_servers = known == "known to the first host"
     effects = run.start(0.0)
     if first == "none":
         assert not effects and not run.shards["shard"].is_spent
@@ -481,26 +478,26 @@
 
 # Messages
 
-KNOWN = ["a", "b", "c"]
-ASKED = PartsRequest(1, "GET", "/all/1", [], b"", 800.0, 50.0, ["a", "b"])
-ANSWER = PartsNews(1, [0, 1], [b"x", b"y"], b"r" * 32, [])
+KNOWN_SHARDS = ["a", "b", "c"]
+REQUEST = PartsRequest(1, "GET", "/all/1", [], b"", 800.0, 50.0, ["a", "b"])
+RESPONSE = PartsNews(1, [0, 1], [b"x", b"y"], b"r" * 32, [])
 
 
 @then('a request for a share with {mistake} is refused naming "{field}"')
 def step_bad_share(context, mistake, field):
-    check_parts_request(ASKED, KNOWN)
+    check_parts_request(REQUEST, KNOWN_SHARDS)
     nan = float("nan")
-    spoilt = {
-        "no time left": ASKED._replace(time_left=0.0),
-        "a time that is no number": ASKED._replace(time_left=nan),
-        "a due time that is no number": ASKED._replace(due_in=nan),
-        "no shard": ASKED._replace(shards=[]),
-        "a shard twice": ASKED._replace(shards=["a", "a"]),
-        "a shard of no route": ASKED._replace(shards=["a", "z"]),
-        "more shards than the route": ASKED._replace(shards=["a", "b", "c", "d"]),
+    invalid = {
+        "no time left": REQUEST._replace(time_left=0.0),
+        "a time that is not a number": REQUEST._replace(time_left=nan),
+        "a due time that is not a number": REQUEST._replace(due_in=nan),
+        "no shard": REQUEST._replace(shards=[]),
+        "a shard twice": REQUEST._replace(shards=["a", "a"]),
+        "a shard of no route": REQUEST._replace(shards=["a", "z"]),
+        "more shards than the route": REQUEST._replace(shards=["a", "b", "c", "d"]),
     }[mistake]
     try:
-        check_parts_request(spoilt, KNOWN)
+        check_parts_request(invalid, KNOWN_SHARDS)
     except AlderhatchError as exc:
         assert exc.failure.field == field, exc.failure
         return
@@ -509,18 +506,18 @@
 
 @then('an answer with {mistake} is refused naming "{field}"')
 def step_bad_answer(context, mistake, field):
-    assert bundle_of(ANSWER, ("a", "b"), 2) == PartsBundle(("a", "b"), (b"x", b"y"), b"r" * 32)
-    spoilt = {
-        "a place beyond the request": ANSWER._replace(shards=[0, 2]),
-        "a place below zero": ANSWER._replace(shards=[0, -1]),
-        "a spent place beyond it": ANSWER._replace(spent=[2]),
-        "fewer signatures than parts": ANSWER._replace(signatures=[b"x"]),
-        "an empty signature": ANSWER._replace(signatures=[b"x", b""]),
-        "a record that is cut": ANSWER._replace(records=b"r" * 31),
-        "more records than are wanted": ANSWER._replace(records=b"r" * 48),
+    assert bundle_of(RESPONSE, ("a", "b"), 2) == PartsBundle(("a", "b"), (b"x", b"y"), b"r" * 32)
+    invalid = {
+        "an index beyond the request": RESPONSE._replace(shards=[0, 2]),
+        "a negative index": RESPONSE._replace(shards=[0, -1]),
+        "a spent index beyond it": RESPONSE._replace(spent=[2]),
+        "fewer signatures than parts": RESPONSE._replace(signatures=[b"x"]),
+        "an empty signature": RESPONSE._replace(signatures=[b"x", b""]),
+        "a truncated record": RESPONSE._replace(records=b"r" * 31),
+        "more records than are wanted": RESPONSE._replace(records=b"r" * 48),
     }[mistake]
     try:
-        bundle_of(spoilt, ("a", "b"), 2)
+        bundle_of(invalid, ("a", "b"), 2)
     except ValueError as exc:
         assert str(exc).startswith(field), exc
         return
@@ -534,7 +531,7 @@
     part = st.lists(record | few, max_size=5).map(b"".join)
     bundles = st.lists(st.lists(part, min_size=1, max_size=4), min_size=1, max_size=4)
 
-    @limits(max_examples=100, deadline=None, derandomize=True)
+    @hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
     @for_all(bundles, st.integers(1, 6))
     def check(groups, most):
         destination = AllShards(("a",), most, 0.5)
@@ -560,7 +557,7 @@
     return SimpleNamespace(body=body, header=header)
 
 
-@when("a host that brought 2 of its 3 parts is lost after the answer is due")
+@when("a host that returned 2 of its 3 parts is lost after the answer is due")
 def step_lost_late(context):
     run = context.model.run
     context.effects = run.start(0.0)
@@ -571,8 +568,8 @@
     context.effects = run.on_lost(0, True, DUE + 1.0)
 
 
-@then("the gather ends, and nobody is asked for the third part")
-def step_nobody(context):
+@then("the gather ends, and no host is asked for the third part")
+def step_not_asked(context):
     assert context.model.run.finished
     assert not [one for one in context.effects if isinstance(one, QueryLocally | QueryHost)]
     assert [one for one in context.effects if isinstance(one, Finish)]
--- a/features/steps/hedge_timer_steps.py
+++ b/features/steps/hedge_timer_steps.py
@@ -14,7 +14,7 @@
 NOW = 1000.0
 
 
-@given("a route whose parts take {usual:g} ms, and {slow:g} ms at one in 5 servers")
+@given("a route whose parts take {usual:g} ms, and {slow:g} ms on one in 5 servers")
 def step_route(context, usual, slow):
     context.servers = TargetTable("zone-0", BudgetLimits(0.0, 100.0, 10_000.0), POLICY, Random(1))
     for number in range(500):
@@ -31,6 +31,6 @@
     context.after = timer.hedge_at(UPSTREAM, NOW) - NOW
 
 
-@then("another server is asked between {first:g} and {last:g} ms")
+@then("another server is queried between {first:g} and {last:g} ms")
 def step_asked(context, first, last):
     assert first <= context.after <= last, context.after
--- a/features/steps/late_crash_steps.py
+++ b/features/steps/late_crash_steps.py
@@ -41,24 +41,24 @@
 
 
 @given("a host that has told its leader of a crash, and a leader that never heard of it")
-def step_told(context):
-    host = context.beliefs = node_with_servers(context, "host-0", 28)
+def step_reported(context):
+    host = context.state = node_with_servers(context, "host-0", 28)
     (target,) = host.table.upstream(UPSTREAM).targets.values()
     host.saw_attempt(BODY, target, AttemptFault.LOST, context.clock.now())
     host.saw_attempt(BODY, target, AttemptFault.NOT_SENT, context.clock.now())
     assert len(host.take_crashes()) == 1
     assert host.take_crashes() == []
-    context.tally = CrashCounter()
+    context.crash_counter = CrashCounter()
 
 
 @when("the host follows the new leader, and another host reports the body's second crash")
 def step_second(context):
-    host = context.beliefs
+    host = context.state
     host.follow_new_leader()
     now = context.clock.now()
     for crash in host.take_crashes():
-        context.tally.report(crash.fingerprint, crash.server_id, now)
-    context.refused = context.tally.report(BODY, "another server", now)
+        context.crash_counter.report(crash.fingerprint, crash.server_id, now)
+    context.refused = context.crash_counter.report(BODY, "another server", now)
 
 
 @then("the new leader has the body refused everywhere")
@@ -69,5 +69,5 @@
 @then("a host that follows a leader 61 s after a crash reports it no more")
 def step_forgotten(context):
     context.clock.advance(CRASH_RETENTION + SECOND)
-    context.beliefs.follow_new_leader()
-    assert context.beliefs.take_crashes() == []
+    context.state.follow_new_leader()
+    assert context.state.take_crashes() == []
--- a/features/support/forward_model.py
+++ b/features/support/forward_model.py
@@ -1,4 +1,4 @@
-"""Servers on a virtual clock that forwarded requests run against, without sockets."""
+"""Model of servers on a virtual clock that forwarded requests run against, without sockets."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from alderhatch.node.forward_runner import LOSER_GRACE
 from alderhatch.platform.settings import POLICY
 
-TERMS = BudgetLimits(0.2, 62.0, 10_000.0)
-WAY = 0.5
+BUDGET_LIMITS = BudgetLimits(0.2, 62.0, 10_000.0)
+NETWORK_DELAY_MS = 0.5
 
 
 def scatter_route(shards, **changes):
@@ -44,7 +44,7 @@
 
 
 class ModelServer:
-    """A server with slots and a queue; ``mode`` says what becomes of requests."""
+    """A server with slots and a queue; ``mode`` determines how it handles requests."""
 
     def __init__(self, server_id, work, rng, slots=2, queue=12):
         self.server_id = server_id
@@ -52,9 +52,9 @@
         self.rng = rng
         self.slots = slots
         self.queue = queue
-        self.mode = "well"
+        self.mode = "healthy"
         self.spread = 0.35
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.shed_share = 0.0
         self.paused_until = 0.0
         self.free_at = [0.0] * slots
@@ -62,8 +62,8 @@
         self.arrivals = 0
         self.runs = 0
 
-    def take(self, now):
-        """Return (when the answer leaves, fault or None); None for no answer at all."""
+    def accept(self, now):
+        """Return when the answer leaves and its fault or None; return None for no answer."""
         self.arrivals += 1
         if self.mode == "silent":
             return None
@@ -78,7 +78,7 @@
             return now + 1.0, AttemptFault.FAILED
         self.runs += 1
         begin = max(now, self.paused_until, self.free_at[0])
-        end = begin + self.slow * self.work * self.rng.lognormvariate(
+        end = begin + self.slowdown * self.work * self.rng.lognormvariate(
             -self.spread**2 / 2, self.spread
         )
         heapq.heapreplace(self.free_at, end)
@@ -91,15 +91,15 @@
 
 
 class ForwardModel:
-    """Hosts that forward requests to the same servers; each has a table of its own."""
+    """Hosts that forward requests to the same servers; each has its own table."""
 
-    def __init__(self, hosts=1, seed=1, terms=TERMS):
+    def __init__(self, hosts=1, seed=1, budget_limits=BUDGET_LIMITS):
         self.rng = Random(seed)
         self.now = 0.0
         self.servers = {}
         self.records = []
         self.tables = [
-            TargetTable(f"zone-{index % 3}", terms, POLICY, Random(seed + index))
+            TargetTable(f"zone-{index % 3}", budget_limits, POLICY, Random(seed + index))
             for index in range(hosts)
         ]
         for table in self.tables:
@@ -129,7 +129,7 @@
         heapq.heappush(self._events, (when, next(self._order), action))
 
     def request(self, route, when=None, host=0, left=None):
-        """Let a caller's request arrive; return its number."""
+        """Schedule the arrival of a caller's request; return its number."""
         number = next(self._numbers)
         self.at(self.now if when is None else when, lambda: self._arrive(number, route, host, left))
         return number
@@ -175,10 +175,10 @@
         server = self.servers[send.target.server_id]
         self._count_crossing(host, send)
         self._open[send.attempt] = send
-        taken = server.take(self.now + WAY)
+        taken = server.accept(self.now + NETWORK_DELAY_MS)
         if taken is not None:
             end, fault = taken
-            self.at(end + WAY, lambda: self._end(number, host, send, server, fault))
+            self.at(end + NETWORK_DELAY_MS, lambda: self._end(number, host, send, server, fault))
 
     def _count_crossing(self, host, send):
         self.sends += 1
@@ -220,9 +220,11 @@
 
     def extra(self, upstream, requests):
         """Return how many arrivals an upstream had beyond the first of each request."""
-        arrivals = sum(one.arrivals for name, one in self.servers.items() if _of(name) == upstream)
+        arrivals = sum(
+            one.arrivals for name, one in self.servers.items() if _upstream_of(name) == upstream
+        )
         return arrivals - requests
 
 
-def _of(server_id):
+def _upstream_of(server_id):
     return server_id.rpartition("-")[0]
