--- a/src/alderhatch/core/forwarding/target_table.py
+++ b/src/alderhatch/core/forwarding/target_table.py
@@ -93,9 +93,9 @@
 
         Args:
             constant_fraction: Its fraction of the constant of each upstream's budget.
-            owner_fractions: The same for upstreams that one host queries for all, by whether this
-                host is that one; None for no difference.
             connecting: How many hosts hold connections to all servers.
+            owner_fractions: The same fraction for upstreams that one host queries for all, by
+                whether this host is that one; None for no difference.
         """
         self._constant_fraction = constant_fraction
         self._owner_fractions = owner_fractions or {}
