--- a/features/steps/late_crash_steps.py
+++ b/features/steps/late_crash_steps.py
@@ -5,8 +5,8 @@
 from alderhatch.clock import SECOND
 from alderhatch.core.crash_detector import CrashDetector
 from alderhatch.core.entry_events import AttemptFault
-from alderhatch.core.forwarding.crash_tally import FORGET_AFTER, CrashTally
-from features.steps.caller_hosts_steps import UPSTREAM, node_before_servers
+from alderhatch.core.forwarding.crash_counter import CRASH_RETENTION, CrashCounter
+from features.steps.caller_hosts_steps import UPSTREAM, node_with_servers
 
 BODY = "a body"
 SERVERS = ("server-1", "server-2")
@@ -41,24 +41,24 @@
 
 
 @given("a host that has told its leader of a crash, and a leader that never heard of it")
-def step_told(context):
-    host = context.beliefs = node_before_servers(context, "host-0", 28)
+def step_reported(context):
+    host = context.state = node_with_servers(context, "host-0", 28)
     (target,) = host.table.upstream(UPSTREAM).targets.values()
     host.saw_attempt(BODY, target, AttemptFault.LOST, context.clock.now())
     host.saw_attempt(BODY, target, AttemptFault.NOT_SENT, context.clock.now())
     assert len(host.take_crashes()) == 1
     assert host.take_crashes() == []
-    context.tally = CrashTally()
+    context.crash_counter = CrashCounter()
 
 
 @when("the host follows the new leader, and another host reports the body's second crash")
 def step_second(context):
-    host = context.beliefs
+    host = context.state
     host.follow_new_leader()
     now = context.clock.now()
     for crash in host.take_crashes():
-        context.tally.report(crash.fingerprint, crash.server_id, now)
-    context.refused = context.tally.report(BODY, "another server", now)
+        context.crash_counter.report(crash.fingerprint, crash.server_id, now)
+    context.refused = context.crash_counter.report(BODY, "another server", now)
 
 
 @then("the new leader has the body refused everywhere")
@@ -68,6 +68,6 @@
 
 @then("a host that follows a leader 61 s after a crash reports it no more")
 def step_forgotten(context):
-    context.clock.advance(FORGET_AFTER + SECOND)
-    context.beliefs.follow_new_leader()
-    assert context.beliefs.take_crashes() == []
+    context.clock.advance(CRASH_RETENTION + SECOND)
+    context.state.follow_new_leader()
+    assert context.state.take_crashes() == []
