--- a/bench/forward.py
+++ b/bench/forward.py
@@ -20,7 +20,7 @@
 
 from alderhatch.clock import LoopClock
 from alderhatch.codec import Codec
-from alderhatch.core.control.configuration_register import pack
+from alderhatch.core.control.configuration_register import pack_configuration
 from alderhatch.core.forwarding.caller_hosts import HostRecord
 from alderhatch.core.forwarding.extra_budget import BudgetTerms
 from alderhatch.core.forwarding.server_record import ServerRecord
@@ -99,7 +99,7 @@
             "node", "zone", decode_configuration, self.pool, terms, POLICY, clock, Random(1)
         )
         shards = [f"shard-{index}" for index in range(len(ports))]
-        self.state.take_configuration(pack(1, _document(shards)))
+        self.state.take_configuration(pack_configuration(1, _document(shards)))
         self.records = [
             ServerRecord(f"i-{index}", shards[index], "127.0.0.1", port, "zone", 2, False)
             for index, port in enumerate(ports)
--- a/features/steps/cold_servers_steps.py
+++ b/features/steps/cold_servers_steps.py
@@ -10,8 +10,8 @@
 from alderhatch.core.control.configuration_register import (
     ConfigurationRegister,
     StoredConfiguration,
-    TierOrders,
-    encode_command,
+    TierDirectives,
+    encode_configuration,
     encode_evacuation,
 )
 from alderhatch.core.control.evacuations import Evacuations
@@ -268,7 +268,7 @@
         context.changes += 1
 
     context.register = ConfigurationRegister(changed)
-    context.register.apply(1, encode_command(StoredConfiguration(7, b"packed")))
+    context.register.apply(1, encode_configuration(StoredConfiguration(7, b"packed")))
     context.changes = 0
 
 
@@ -293,7 +293,7 @@
 def step_restored(context):
     other = ConfigurationRegister(lambda: None)
     other.restore(context.register.snapshot())
-    assert other.orders == context.register.orders
+    assert other.directives == context.register.directives
 
 
 @given("a snapshot that holds configuration 7 alone")
@@ -305,7 +305,7 @@
 def step_from_old(context):
     register = ConfigurationRegister(lambda: None)
     register.restore(context.snapshot)
-    assert register.orders == TierOrders(StoredConfiguration(7, b"packed"), Evacuations())
+    assert register.directives == TierDirectives(StoredConfiguration(7, b"packed"), Evacuations())
 
 
 # What hosts hear
@@ -339,7 +339,7 @@
 
 @then("a host that has just joined is told of the zone first")
 def step_first(context):
-    orders = TierOrders(StoredConfiguration(7, b"packed"), Evacuations(3, ("zone-0",)))
+    orders = TierDirectives(StoredConfiguration(7, b"packed"), Evacuations(3, ("zone-0",)))
     news = context.news.since(Told(), orders, Duty.SERVES)
     names = [type(context.codec.decode(one)).__name__ for one in news.messages]
     assert names[0] == "EvacuationNews" and len(names) == 4, names
--- a/features/steps/control_state_steps.py
+++ b/features/steps/control_state_steps.py
@@ -80,7 +80,13 @@
 def _facts(state):
     """What operators have declared, without history and answers."""
     plain = state.hosts.to_plain()
-    return state.revision, state.book.rules.to_plain(), state.settings, plain, state.feed.version
+    return (
+        state.revision,
+        state.rule_store.rules.to_plain(),
+        state.settings,
+        plain,
+        state.feed.version,
+    )
 
 
 @when('anna and bjorn both expect revision 1 and send "{first}" and "{second}"')
@@ -166,7 +172,7 @@
 
 @then('the history of urgent is "{actions}"')
 def step_history(context, actions):
-    events = context.applier.state.book.events("urgent")
+    events = context.applier.state.rule_store.events("urgent")
     assert [event.action for event in events] == actions.split(", ")
     assert [event.revision for event in events] == [1, 2, 3, 4]
 
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -5,16 +5,16 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from alderhatch.core.control.connection_shares import WHOLE
+from alderhatch.core.control.connection_shares import FULL_SHARE
 from alderhatch.core.control.control_state import ControlState
 from alderhatch.core.control.entry_lease import EntryIdentity, EntryLease
 from alderhatch.core.control.feed import UPDATES, Update
 from alderhatch.core.control.lease_messages import Grant, GrantReply
 from alderhatch.core.control.lease_table import LeaseTable
 from alderhatch.core.control.operations import EntryKey
-from alderhatch.core.control.pace import hurry_gap
+from alderhatch.core.control.renewal_interval import min_renewal_interval
 from features.support.lease_model import run_events
-from features.support.lease_weather import run_weather
+from features.support.lease_simulation import run_simulation
 
 ME = EntryIdentity("entry-1", "run-1", "waco-hall", "10.0.0.1", 8080)
 FAULTS = ["join", "kill", "tick", "send", "renewal", "reply", "drop", "leader", "alone", "owners"]
@@ -51,7 +51,7 @@
     @for_all(schedules)
     def check(schedule):
         model = run_events([*begin, ("join", 0), ("join", 1), ("join", 2), *schedule])
-        model.calm_down()
+        model.run_without_faults()
         count_now = len(model.entries)
         for entry in model.entries.values():
             assert entry.lease.may_serve(entry.clock(model.now)), entry.name
@@ -66,7 +66,7 @@
 def _has_its_share(lease, plan, entries):
     if plan is None:
         return (lease.share, lease.plans) == (entries, ())
-    return (lease.share, lease.plans) == (WHOLE, (plan.digest,))
+    return (lease.share, lease.plans) == (FULL_SHARE, (plan.digest,))
 
 
 def _grant(sequence, version=0, lease=3000.0, share=1):
@@ -77,7 +77,7 @@
 def step_lease_weather(context, count):
     served = 0
     for seed in range(count):
-        model = run_weather(seed)
+        model = run_simulation(seed)
         for entry in model.entries.values():
             if not entry.lease.is_leaving:
                 assert entry.lease.may_serve(entry.clock(model.now)), (seed, entry.name)
@@ -92,7 +92,7 @@
     context.lease = EntryLease(ME)
     renewal = context.lease.renewal(float(sent))
     reply = GrantReply(1, _grant(renewal.sequence), [])
-    context.lease.take(reply, float(answered))
+    context.lease.apply_grant(reply, float(answered))
 
 
 @then('the lease says "{may}" at {now:d} ms')
@@ -105,7 +105,7 @@
     context.lease = EntryLease(ME)
     renewal = context.lease.renewal(0.0)
     updates = [UPDATES.encode(Update(base, base + 1, 0, [])) for base in range(7)]
-    context.lease.take(GrantReply(5, _grant(renewal.sequence, 7), updates), 1.0)
+    context.lease.apply_grant(GrantReply(5, _grant(renewal.sequence, 7), updates), 1.0)
     assert context.lease.view.version == 7
     context.end = context.lease.serve_until
 
@@ -121,7 +121,7 @@
         "lacks the updates to its version": good._replace(grant=_grant(sequence, 9)),
         "says that it is not registered yet": good._replace(grant=_grant(sequence, 7, 0.0)),
     }
-    context.taken = context.lease.take(replies[fault], 1001.0)
+    context.taken = context.lease.apply_grant(replies[fault], 1001.0)
 
 
 @then('the lease takes it as "{taken}" and its end is unchanged')
@@ -134,9 +134,9 @@
 @when("news of version 8 are pushed before the answer to a renewal at version 7")
 def step_pushed(context):
     sequence = context.lease.renewal(1500.0).sequence
-    assert context.lease.take_pushed([UPDATES.encode(Update(7, 8, 0, []))])
+    assert context.lease.apply_pushed_updates([UPDATES.encode(Update(7, 8, 0, []))])
     assert context.lease.serve_until == context.end
-    context.taken = context.lease.take(GrantReply(5, _grant(sequence, 7), []), 1501.0)
+    context.taken = context.lease.apply_grant(GrantReply(5, _grant(sequence, 7), []), 1501.0)
 
 
 @then('the lease takes it as "{taken}" and has version {version:d}')
@@ -147,7 +147,7 @@
 
 @when("news that do not follow on it are pushed")
 def step_pushed_gap(context):
-    context.is_news = context.lease.take_pushed([UPDATES.encode(Update(10, 11, 0, []))])
+    context.is_news = context.lease.apply_pushed_updates([UPDATES.encode(Update(10, 11, 0, []))])
 
 
 @then("the lease has version {version:d} and no news")
@@ -168,17 +168,17 @@
 
 @then("it waits for the entry at {now:d} ms")
 def step_waits(context, now):
-    assert context.leases.waiting_for(0, float(now)) == ["entry-1"]
-    assert context.leases.take_run_out(float(now)) == []
+    assert context.leases.unconfirmed_entries(0, float(now)) == ["entry-1"]
+    assert context.leases.take_expired(float(now)) == []
 
 
 @then("it takes the lease as run out at {now:d} ms and not a second time")
 def step_run_out(context, now):
-    assert context.leases.waiting_for(0, float(now)) == []
-    assert context.leases.take_run_out(float(now)) == [context.key]
-    assert context.leases.take_run_out(float(now)) == []
+    assert context.leases.unconfirmed_entries(0, float(now)) == []
+    assert context.leases.take_expired(float(now)) == [context.key]
+    assert context.leases.take_expired(float(now)) == []
 
 
 @then("{entries:d} entries hurried by news make at most {renewals:d} renewals a second")
 def step_pace(context, entries, renewals):
-    assert entries * 1000.0 / hurry_gap(entries) <= renewals
+    assert entries * 1000.0 / min_renewal_interval(entries) <= renewals
--- a/features/steps/owner_shares_steps.py
+++ b/features/steps/owner_shares_steps.py
@@ -27,7 +27,7 @@
     model.applier.one(change("owners", model.state.revision, action))
     for number in range(count):
         model.entries[number] = ModelEntry(number, number, zones=2)
-    model.calm_down()
+    model.run_without_faults()
 
 
 @then(
@@ -64,7 +64,7 @@
         for number, holders in context.owned.items():
             others = {name: limit for name, limit in holders.items() if name != context.lost}
             assert _holders(model, _server(number)) == others
-    model.calm_down()
+    model.run_without_faults()
     for number in context.owned:
         assert len(_holders(model, _server(number))) == 2
     for number, holders in context.kept.items():
--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -6,7 +6,7 @@
     NO_SHARE,
     ConnectionShares,
     Share,
-    connections_for,
+    connections_per_entry,
 )
 from alderhatch.core.control.entry_lease import EntryIdentity, EntryLease
 from alderhatch.core.control.lease_messages import Grant, GrantReply, Renewal
@@ -16,7 +16,7 @@
 
 @then("{count:d} entries may hold {each:d} connections each of {limit:d}, and {spare:d} are spare")
 def step_divisor(context, count, each, limit, spare):
-    assert connections_for(limit, count) == each
+    assert connections_per_entry(limit, count) == each
     assert limit - count * each == spare
 
 
@@ -115,7 +115,7 @@
     identity = EntryIdentity("entry-1", "run-1", "ulven", "10.0.0.1", 8080)
     context.lease = EntryLease(identity)
     sequence = context.lease.renewal(0.0).sequence
-    context.lease.take(GrantReply(1, Grant(sequence, 3000.0, 0, 3, ""), []), 1.0)
+    context.lease.apply_grant(GrantReply(1, Grant(sequence, 3000.0, 0, 3, ""), []), 1.0)
     assert context.lease.share == 3
 
 
@@ -124,7 +124,7 @@
     given_up = 3000.0 + SHARE_GRACE
     sequence = context.lease.renewal(given_up - 1).sequence
     reply = GrantReply(1, Grant(sequence, 3000.0, 0, 3, ""), [])
-    context.lease.take(reply, given_up)
+    context.lease.apply_grant(reply, given_up)
 
 
 @then("it has a lease and no share")
--- a/features/support/lease_model.py
+++ b/features/support/lease_model.py
@@ -15,7 +15,7 @@
 from alderhatch.core.control.lease_messages import GrantReply
 from alderhatch.core.control.lease_table import LeaseTable
 from alderhatch.core.control.operations import EntryKey, RemoveEntries
-from alderhatch.core.control.roster import plan_of_hosts
+from alderhatch.core.control.roster import owner_plan_of_hosts
 from alderhatch.core.shard_map import Server
 
 from .control_commands import Applier, change
@@ -72,8 +72,8 @@
         self.now += span
         self.applier.now += span
         for entry in self.entries.values():
-            entry.lease.drop_share_if_over(entry.clock(self.now))
-        gone = self.table.take_run_out(self.now)
+            entry.lease.release_share_if_expired(entry.clock(self.now))
+        gone = self.table.take_expired(self.now)
         if gone:
             self.take_out(gone)
 
@@ -104,7 +104,7 @@
     def deliver_reply(self, index):
         if self.replies:
             entry, reply = self.replies.pop(index % len(self.replies))
-            entry.lease.take(reply, entry.clock(self.now))
+            entry.lease.apply_grant(reply, entry.clock(self.now))
 
     def drop(self, index):
         if self.renewals:
@@ -161,20 +161,20 @@
         self.table.set_plan(None if plan is None else plan.digest)
 
     def plan(self):
-        return plan_of_hosts(self.state.hosts, self.state.settings.owners_per_server)
+        return owner_plan_of_hosts(self.state.hosts, self.state.settings.owners_per_server)
 
     # What must hold
 
     def check(self):
         version = self.state.feed.version
-        if not self.table.waiting_for(version, self.now):
+        if not self.table.unconfirmed_entries(version, self.now):
             self.promised = max(self.promised, version)
         leases = [entry.lease for entry in self.entries.values()]
         shares = [(lease.share, lease.plans) for lease in leases]
         if not any(plans for _, plans in shares):
             assert sum(Fraction(1, share) for share, _ in shares if share) <= 1, shares
         for server in SERVERS:
-            held = sum(lease.held_limit(server) for lease in leases)
+            held = sum(lease.open_connection_limit(server) for lease in leases)
             assert held <= server.max_connections, (server, held, shares)
         for entry in self.entries.values():
             held = entry.lease.view.version
@@ -183,7 +183,7 @@
             if entry.lease.may_serve(entry.clock(self.now)):
                 assert held >= self.promised, (entry.name, held, self.promised)
 
-    def calm_down(self):
+    def run_without_faults(self):
         """Let time pass without any fault."""
         for _ in range(120):
             self.tick(100.0)
--- a/features/support/lease_weather.py
+++ b/features/support/lease_simulation.py
@@ -40,7 +40,7 @@
 """The share of answers that lack their last update."""
 
 
-class LeaseWeather(LeaseModel):
+class LeaseSimulation(LeaseModel):
     def __init__(self, seed):
         super().__init__()
         self.random = Random(seed)
@@ -108,7 +108,7 @@
 
     def answer(self, number, entry, reply):
         version = entry.lease.view.version
-        entry.lease.take(reply, entry.clock(self.now))
+        entry.lease.apply_grant(reply, entry.clock(self.now))
         if entry.lease.view.version == version and reply.grant.lease:
             self.due[number] = self.now + LEASE / 3
         else:
@@ -181,7 +181,7 @@
     def leave(self, number):
         """A planned stop: all connections are closed, and the process exits a little later."""
         entry = self.entries[number]
-        entry.lease.leave()
+        entry.lease.give_up_share()
         self.close_all(entry)
         self.due[number] = self.now
         self.later(self.say_goodbye, number, entry)
@@ -202,7 +202,7 @@
         for entry in self.entries.values():
             assert not (entry.lease.is_leaving and entry.lease.share), entry.name
 
-    def calm_down(self):
+    def run_without_faults(self):
         self.delay, self.loss = 5.0, 0.0
         self.cut.clear()
         for number in [one for one in self.entries if one + TWIN in self.entries]:
@@ -210,13 +210,13 @@
         self.run(5 * LEASE)
 
 
-def run_weather(seed):
-    model = LeaseWeather(seed)
+def run_simulation(seed):
+    model = LeaseSimulation(seed)
     for number in range(3):
         model.join(number)
     model.run(500.0)
     for _ in range(model.random.randint(10, 50)):
         model.happen(model.random.choices(list(WEIGHTS), list(WEIGHTS.values()))[0])
         model.run(model.random.choice((50.0, 100.0, 400.0, 1500.0, 3500.0)))
-    model.calm_down()
+    model.run_without_faults()
     return model
--- a/features/support/ledger_model.py
+++ b/features/support/ledger_model.py
@@ -130,7 +130,7 @@
         state.restore(self.state.snapshot())
         self.applier.state = state
 
-    def calm_down(self):
+    def deliver_all(self):
         """Deliver all that is on its way; whoever still waits for an answer asks again."""
         self.pool += [(one.claim, one) for one in self.attempts if one.waiting]
         while self.pool:
@@ -191,5 +191,5 @@
     kinds = random.choices(list(RESENDS), list(RESENDS.values()), k=random.randint(50, 250))
     events = [(kind, random.randrange(FEW if kind == "request" else 100)) for kind in kinds]
     model = run_ledger_events(events)
-    model.calm_down()
+    model.deliver_all()
     return model
--- a/features/support/tier_hosts.py
+++ b/features/support/tier_hosts.py
@@ -10,7 +10,7 @@
 
 from alderhatch.clock import SECOND
 from alderhatch.codec import Codec
-from alderhatch.core.control.configuration_register import StoredConfiguration, TierOrders
+from alderhatch.core.control.configuration_register import StoredConfiguration, TierDirectives
 from alderhatch.core.control.evacuations import NO_EVACUATIONS
 from alderhatch.core.forwarding.caller_hosts import choose_caller_hosts
 from alderhatch.core.forwarding.server_record import ServerRecord
@@ -100,7 +100,7 @@
         self.stored = StoredConfiguration(1, b"packed")
         self.server = TierServer(
             SimpleNamespace(controls=list, leads=True),
-            lambda: TierOrders(self.stored, NO_EVACUATIONS),
+            lambda: TierDirectives(self.stored, NO_EVACUATIONS),
             lambda: True,
             lambda: Redirect(None, []),
             lambda name: None,
--- a/src/alderhatch/control/_operator_views.py
+++ b/src/alderhatch/control/_operator_views.py
@@ -6,7 +6,7 @@
 
 from ..core.control.host_table import ControlRecord, EntryRecord
 from ..core.control.operations import HistoryItem
-from ..core.control.rule_book import RuleEvent
+from ..core.control.rule_store import RuleEvent
 from ..core.control.tier_settings import settings_to_plain
 from ..core.request import Request
 from ..core.rule_list import rule_to_plain
@@ -58,7 +58,7 @@
     def rules(self) -> dict[str, object]:
         """Return the rules in order."""
         state = self._host.state
-        return {"revision": state.revision, "rules": state.book.rules.to_plain()}
+        return {"revision": state.revision, "rules": state.rule_store.rules.to_plain()}
 
     def rule(self, name: str) -> dict[str, object]:
         """Return one rule with its history, withdrawn ones included.
@@ -67,12 +67,12 @@
             AlderhatchError: ``not_found`` if there never was one, as far as is known.
         """
         state = self._host.state
-        position = state.book.position(name)
-        events = state.book.events(name)
+        position = state.rule_store.position(name)
+        events = state.rule_store.events(name)
         if position is None and not events:
             failure = Failure(ErrorKind.NOT_FOUND, f"there is no rule {name!r}", "name")
             raise AlderhatchError(failure)
-        rule = None if position is None else state.book.rules.rules[position - 1]
+        rule = None if position is None else state.rule_store.rules.rules[position - 1]
         return {
             "revision": state.revision,
             "position": position,
@@ -83,7 +83,7 @@
     def explain(self, request: Request) -> dict[str, object]:
         """Return which rule takes a request, and why the earlier ones do not."""
         state = self._host.state
-        found = state.book.rules.explain(request)
+        found = state.rule_store.rules.explain(request)
         return {
             "revision": state.revision,
             "rule": rule_to_plain(found.rule),
@@ -135,10 +135,10 @@
     def history(self, before: int | None, limit: int) -> dict[str, object]:
         """Return one page of the history."""
         state = self._host.state
-        items = state.memory.page(before, limit)
+        items = state.change_history.page(before, limit)
         return {
             "revision": state.revision,
-            "oldest": state.memory.oldest,
+            "oldest": state.change_history.oldest,
             "changes": [history_row(item) for item in items],
         }
 
--- a/src/alderhatch/control/leadership.py
+++ b/src/alderhatch/control/leadership.py
@@ -19,7 +19,7 @@
     RegisterEntry,
     RemoveEntries,
 )
-from ..core.control.roster import plan_of_hosts
+from ..core.control.roster import owner_plan_of_hosts
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..log import log_event
 from ..log_events import LogEvent
@@ -138,7 +138,7 @@
     def in_force(self, version: int) -> InForce:
         """Return whether a version is in force now."""
         self._sync()
-        waiting = self._table.waiting_for(version, self._clock.now())
+        waiting = self._table.unconfirmed_entries(version, self._clock.now())
         return InForce(not waiting, waiting)
 
     async def wait_in_force(self, version: int, timeout: Millis) -> InForce:
@@ -172,7 +172,7 @@
 
     def _set_plan(self) -> None:
         state = self._observed.state
-        plan = plan_of_hosts(state.hosts, state.settings.owners_per_server)
+        plan = owner_plan_of_hosts(state.hosts, state.settings.owners_per_server)
         self._table.set_plan(None if plan is None else plan.digest)
 
     async def _operate(self, operation: Operation) -> Noted:
@@ -187,7 +187,7 @@
             # A leader that was replaced hears from nobody and would take every lease as run out.
             if not self._log.holds_lease():
                 continue
-            gone = self._table.take_run_out(self._clock.now())
+            gone = self._table.take_expired(self._clock.now())
             if not gone:
                 continue
             for key in gone:
@@ -195,7 +195,7 @@
             try:
                 await self._operate(RemoveEntries(gone))
             except AlderhatchError:
-                self._table.retry_run_out()
+                self._table.retry_expired()
 
     async def _keep_house(self) -> None:
         while True:
--- a/src/alderhatch/control/link_server.py
+++ b/src/alderhatch/control/link_server.py
@@ -29,7 +29,7 @@
     RemoveEntries,
     ReportCrash,
 )
-from ..core.control.pace import hurry_gap
+from ..core.control.renewal_interval import min_renewal_interval
 from ..errors import AlderhatchError, ErrorKind
 from ..link import Link, LinkClosedError
 from ..log import log_event
@@ -104,7 +104,7 @@
                 if sum(map(len, updates)) > MAX_PUSHED_BYTES:
                     updates = []
                 told.version = state.feed.version
-                gap = hurry_gap(len(state.hosts.entries))
+                gap = min_renewal_interval(len(state.hosts.entries))
                 next_at = trio.current_time() + gap / SECOND
                 await link.send(Nudge(told.version, updates))
         except LinkClosedError:
--- a/src/alderhatch/core/control/_change_application.py
+++ b/src/alderhatch/core/control/_change_application.py
@@ -36,7 +36,7 @@
 )
 from .host_table import HostTable, Quorum
 from .roster import control_places, roster_row
-from .rule_book import Author, RuleBook
+from .rule_store import Author, RuleStore
 from .tier_settings import TierSettings, merge_settings, settings_to_plain
 
 MAX_NAMED = 5
@@ -47,7 +47,7 @@
     """The part of the state that operators change."""
 
     settings: TierSettings
-    book: RuleBook
+    rule_store: RuleStore
     hosts: HostTable
     crashes: CrashTable
 
@@ -81,16 +81,16 @@
     match action:
         case AddRule(rule, position):
             name = str(rule.get("name", ""))
-            after = state.book.add(rule, position)
+            after = state.rule_store.add(rule, position)
             return _adopt(state, after, author, name, f"added rule {name}")
         case EditRule(name, rule):
-            after = state.book.edit(name, rule)
+            after = state.rule_store.edit(name, rule)
             return _adopt(state, after, author, name, f"edited rule {name}")
         case MoveRule(name, position):
-            after = state.book.move(name, position)
+            after = state.rule_store.move(name, position)
             return _adopt(state, after, author, name, f"moved rule {name} to {position}")
         case WithdrawRule(name):
-            after = state.book.withdraw(name)
+            after = state.rule_store.withdraw(name)
             return _adopt(state, after, author, name, f"withdrew rule {name}")
         case ReplaceRules(rows):
             after = parse_rules(rows)
@@ -109,10 +109,10 @@
 def _adopt(
     state: ChangeableState, after: RuleList, author: Author, target: str, summary: str
 ) -> ChangeOutcome:
-    before = state.book.rules
+    before = state.rule_store.rules
     if before.to_plain() == after.to_plain():
         return ChangeOutcome(False, target, summary)
-    state.book.adopt(after, author)
+    state.rule_store.adopt(after, author)
     return ChangeOutcome(True, target, summary, (rules_patch(before, after),))
 
 
--- a/src/alderhatch/core/control/change_memory.py
+++ b/src/alderhatch/core/control/change_history.py
@@ -33,7 +33,7 @@
     return hashlib.blake2b(text + change.action, digest_size=16).digest()
 
 
-class ChangeMemory:
+class ChangeHistory:
     """Bounded memory of changes. A resent change gets its first answer from here."""
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
         return {"answers": answers, "history": [list(item) for item in self._history]}
 
     @classmethod
-    def from_plain(cls, plain: dict[str, Any]) -> ChangeMemory:
+    def from_plain(cls, plain: dict[str, Any]) -> ChangeHistory:
         """Return the state that ``to_plain`` gave."""
         memory = cls()
         for key, digest, answer in plain["answers"]:
--- a/src/alderhatch/core/control/configuration_register.py
+++ b/src/alderhatch/core/control/configuration_register.py
@@ -27,19 +27,19 @@
 NO_CONFIGURATION = StoredConfiguration(0, b"")
 
 
-def pack(version: int, document: bytes) -> StoredConfiguration:
+def pack_configuration(version: int, document: bytes) -> StoredConfiguration:
     """Return a configuration as it is stored and passed on."""
     return StoredConfiguration(version, zlib.compress(document))
 
 
-class TierOrders(NamedTuple):
+class TierDirectives(NamedTuple):
     """Everything that operators have ordered and that is in force."""
 
     configuration: StoredConfiguration
     evacuations: Evacuations
 
 
-def encode_command(stored: StoredConfiguration) -> bytes:
+def encode_configuration(stored: StoredConfiguration) -> bytes:
     """Return the command that puts a configuration on the log."""
     return cbor2.dumps(list(stored))
 
@@ -69,9 +69,9 @@
         """The evacuated availability zones."""
 
     @property
-    def orders(self) -> TierOrders:
+    def directives(self) -> TierDirectives:
         """What is in force."""
-        return TierOrders(self.stored, self.evacuations)
+        return TierDirectives(self.stored, self.evacuations)
 
     def apply(self, index: int, command: bytes) -> object:
         """Take one committed change.
@@ -95,7 +95,7 @@
 
     def _evacuate(self, index: int, zone: str, evacuate: bool) -> tuple[str, ...]:
         before = self.evacuations
-        self.evacuations = before.changed(index, zone, evacuate)
+        self.evacuations = before.with_zone(index, zone, evacuate)
         if self.evacuations is not before:
             self._on_change()
         return self.evacuations.zones
--- a/src/alderhatch/core/control/connection_shares.py
+++ b/src/alderhatch/core/control/connection_shares.py
@@ -19,7 +19,7 @@
 
 NO_SHARE = 0
 """The divisor of an entry that may hold no connection."""
-WHOLE = 1
+FULL_SHARE = 1
 """The divisor that bounds nothing: what an entry may hold follows from its plans alone."""
 SPARE_PART = 10
 """One of so many connections to a server is no owner's."""
@@ -27,7 +27,7 @@
 """An entry that would have to obey more plans at once gives up its share instead."""
 
 
-def connections_for(max_connections: int, divisor: int) -> int:
+def connections_per_entry(max_connections: int, divisor: int) -> int:
     """Return how many connections to one server a divisor allows.
 
     Args:
@@ -146,7 +146,7 @@
         return granted
 
     def _next_share(self, name: str, obeyed: Share, wanted: bool, now: Millis) -> Share:
-        target = Share(len(self._bounds)) if self.plan is None else Share(WHOLE, (self.plan,))
+        target = Share(len(self._bounds)) if self.plan is None else Share(FULL_SHARE, (self.plan,))
         narrowed = obeyed.narrowed(target)
         if not obeyed.nothing and narrowed != obeyed:
             # Room first: as long as others go by an older plan or divisor, what this entry holds
--- a/src/alderhatch/core/control/control_state.py
+++ b/src/alderhatch/core/control/control_state.py
@@ -12,7 +12,7 @@
 from ..rule_list import RuleFaultsError
 from ._change_application import ChangeOutcome, apply_action
 from .actions import ACTIONS, Action, action_name
-from .change_memory import ChangeMemory
+from .change_history import ChangeHistory
 from .crash_table import CrashTable
 from .feed import (
     UPDATES,
@@ -49,7 +49,7 @@
     ReportCrash,
 )
 from .roster import control_places, roster_row
-from .rule_book import Author, RuleBook
+from .rule_store import Author, RuleStore
 from .run_ledger import RunLedger
 from .tier_settings import TierSettings, merge_settings, settings_to_plain
 
@@ -75,7 +75,7 @@
         """Counts accepted changes of the configuration; it never goes down."""
         self.settings = TierSettings()
         """The settings of the whole tier."""
-        self.book = RuleBook()
+        self.rule_store = RuleStore()
         """The rules with their history."""
         self.hosts = HostTable()
         """Entries, control hosts and leaving servers."""
@@ -83,7 +83,7 @@
         """Suspect and quarantined bodies."""
         self.ledger = RunLedger()
         """The runs of requests that may run at most once."""
-        self.memory = ChangeMemory()
+        self.change_history = ChangeHistory()
         """Answers to changes, and the history."""
         self.feed = Feed()
         """What entries are told."""
@@ -117,11 +117,11 @@
             "version": self.feed.version,
             "versions": [list(item) for item in self._versions.items()],
             "settings": settings_to_plain(self.settings),
-            "book": self.book.to_plain(),
+            "book": self.rule_store.to_plain(),
             "hosts": self.hosts.to_plain(),
             "crashes": self.crashes.to_plain(),
             "ledger": self.ledger.to_plain(),
-            "memory": self.memory.to_plain(),
+            "memory": self.change_history.to_plain(),
         }
         return cbor2.dumps(plain)
 
@@ -137,11 +137,11 @@
         self.now = plain["now"]
         self.revision = plain["revision"]
         self.settings = merge_settings(TierSettings(), plain["settings"])
-        self.book = RuleBook.from_plain(plain["book"])
+        self.rule_store = RuleStore.from_plain(plain["book"])
         self.hosts = HostTable.from_plain(plain["hosts"])
         self.crashes = CrashTable.from_plain(plain["crashes"])
         self.ledger = RunLedger.from_plain(plain["ledger"])
-        self.memory = ChangeMemory.from_plain(plain["memory"])
+        self.change_history = ChangeHistory.from_plain(plain["memory"])
         self.feed = Feed(plain["version"])
         self._versions = dict(plain["versions"])
         self._whole = None
@@ -171,7 +171,7 @@
         return WholeView(
             self.feed.version,
             self.revision,
-            self.book.rules.to_plain(),
+            self.rule_store.rules.to_plain(),
             settings_to_plain(self.settings),
             [roster_row(hosts, name) for name in hosts.entries],
             [quarantine.fingerprint for quarantine in self.crashes.quarantines],
@@ -239,7 +239,7 @@
     def _remove(self, entries: Sequence[EntryKey]) -> Noted:
         removed = [key for key in entries if self.hosts.remove(key, self.now)]
         for key in removed:
-            self.ledger.holder_gone(key)
+            self.ledger.mark_outcomes_unknown(key)
         if removed:
             self.feed.publish(self.revision, [RosterPatch([], [key.name for key in removed])])
         return Noted(bool(removed))
@@ -251,21 +251,21 @@
         return Noted(True)
 
     def _change(self, change: Change) -> ChangeAccepted | ChangeRefused:
-        first = self.memory.answer_to(change)
-        if first is not None and self.memory.is_same(change):
+        first = self.change_history.answer_to(change)
+        if first is not None and self.change_history.is_same(change):
             return first
         if first is not None:
             message = f"change id {change.change_id!r} was used for another change"
             return self._refusal(ErrorKind.INVALID_CHANGE, message, "change_id")
         answer = self._decide(change)
-        self.memory.remember(change, answer)
+        self.change_history.remember(change, answer)
         return answer
 
     def _decide(self, change: Change) -> ChangeAccepted | ChangeRefused:
         if change.expected_revision != self.revision:
             message = f"expected revision {change.expected_revision}, it is {self.revision}"
             refusal = self._refusal(ErrorKind.REVISION_CONFLICT, message, "expected_revision")
-            return refusal._replace(won=self.memory.since(change.expected_revision))
+            return refusal._replace(won=self.change_history.since(change.expected_revision))
         author = Author(self.revision + 1, self.now, change.who, change.change_id)
         quorum = Quorum(tuple(change.voters), tuple(change.down))
         try:
@@ -293,7 +293,7 @@
                 outcome.target,
                 outcome.summary,
             )
-            self.memory.record(item)
+            self.change_history.record(item)
         version = self.feed.version
         return ChangeAccepted(change.change_id, self.revision, version, self.now, outcome.changed)
 
@@ -312,7 +312,7 @@
             "now_ms": self.now,
             "revision": self.revision,
             "version": self.feed.version,
-            "rules": [rule.name for rule in self.book.rules.rules],
+            "rules": [rule.name for rule in self.rule_store.rules.rules],
             "settings": settings_to_plain(self.settings),
             "entries": [record._asdict() for record in self.hosts.entries.values()],
             "controls": [record._asdict() for record in self.hosts.controls.values()],
@@ -322,5 +322,5 @@
             "quarantines": [q._asdict() for q in self.crashes.quarantines[-100:]],
             "suspects": len(self.crashes.suspects),
             "ledger": self.ledger.counts()._asdict(),
-            "history": [item._asdict() for item in self.memory.page(None, 20)],
+            "history": [item._asdict() for item in self.change_history.page(None, 20)],
         }
--- a/src/alderhatch/core/control/entry_lease.py
+++ b/src/alderhatch/core/control/entry_lease.py
@@ -11,11 +11,11 @@
 from ...errors import AlderhatchError
 from ..owners import OwnerPlan
 from ..shard_map import Server
-from .connection_shares import NO_SHARE, Share, connections_for, owned_connections
+from .connection_shares import NO_SHARE, Share, connections_per_entry, owned_connections
 from .entry_view import EntryView
 from .lease_messages import GrantReply, Renewal
 from .lease_table import SHARE_GRACE
-from .roster import plan_of_roster
+from .roster import owner_plan_of_roster
 
 NO_VERSION = -1
 """Asks for the whole view."""
@@ -35,7 +35,7 @@
     """Where it takes links of other entries; 0 if it takes none."""
 
 
-class Taken(StrEnum):
+class GrantOutcome(StrEnum):
     """What became of a grant."""
 
     RENEWED = "renewed"
@@ -91,7 +91,7 @@
         """
         return min(self._allowed(self._held, server), self._allowed(self._wanted, server))
 
-    def held_limit(self, server: Server) -> int:
+    def open_connection_limit(self, server: Server) -> int:
         """Return how many connections to a server there may be until the share has settled."""
         return self._allowed(self._held, server)
 
@@ -109,7 +109,7 @@
         return tuple(name for name, _ in counts.most_common())
 
     def _allowed(self, share: Share, server: Server) -> int:
-        limit = connections_for(server.max_connections, share.divisor)
+        limit = connections_per_entry(server.max_connections, share.divisor)
         for digest in share.plans:
             plan = self._plans[digest]
             owners = plan.owners(server.server_id, server.zone, server.max_connections)
@@ -129,7 +129,7 @@
 
     def renewal(self, now: Millis) -> Renewal:
         """Return a renewal to send now; answers to earlier ones are ignored from here on."""
-        self.drop_share_if_over(now)
+        self.release_share_if_expired(now)
         self._sequence += 1
         self._sent_at = now
         self._reported_share = self._held
@@ -144,29 +144,29 @@
             **self._me._asdict(),
         )
 
-    def take(self, reply: GrantReply, now: Millis) -> Taken:
+    def apply_grant(self, reply: GrantReply, now: Millis) -> GrantOutcome:
         """Take in the answer to a renewal."""
-        self.drop_share_if_over(now)
+        self.release_share_if_expired(now)
         grant = reply.grant
         if grant.sequence != self._sequence or self._sent_at is None or reply.term < self._term:
-            return Taken.IGNORED
+            return GrantOutcome.IGNORED
         sent_at, self._sent_at = self._sent_at, None
         self._term = reply.term
         # Pushed news may have overtaken the grant on its way, which is no fault of control's.
         if grant.version < self._reported_version:
-            return Taken.WENT_BACK
+            return GrantOutcome.WENT_BACK
         if not self._advance(reply):
-            return Taken.BEHIND
+            return GrantOutcome.BEHIND
         if grant.lease <= 0:
-            return Taken.PENDING
+            return GrantOutcome.PENDING
         self.serve_until = max(self.serve_until, sent_at + grant.lease)
         if self._held == self._reported_share:
             # A share that was given up between renewal and answer is not part of the leader's
             # sum any more. Taking it up again here could exceed the servers' limits.
             self._take_share(Share(grant.share, grant.plans))
-        return Taken.RENEWED
+        return GrantOutcome.RENEWED
 
-    def take_pushed(self, updates: Sequence[bytes]) -> bool:
+    def apply_pushed_updates(self, updates: Sequence[bytes]) -> bool:
         """Take in news that come without a grant; they neither extend the lease nor confirm it.
 
         Returns:
@@ -180,7 +180,7 @@
             self.view = before
         return self.view is not before
 
-    def leave(self) -> None:
+    def give_up_share(self) -> None:
         """Give up the share for good; all connections are closed, and the process is to exit."""
         self._leaving = True
         self._give_up_share()
@@ -196,7 +196,7 @@
         self._held = self._wanted
         return True
 
-    def drop_share_if_over(self, now: Millis) -> bool:
+    def release_share_if_expired(self, now: Millis) -> bool:
         """Give up the share once the lease has been over for the grace time.
 
         Returns:
@@ -233,7 +233,7 @@
         """Take in the present plan; return whether all of a share's plans are known."""
         if all(digest in self._plans for digest in granted.plans):
             return True
-        plan = plan_of_roster(self.view.roster.values(), self.view.settings.owners_per_server)
+        plan = owner_plan_of_roster(self.view.roster.values(), self.view.settings.owners_per_server)
         kept = {*self._held.plans, *self._wanted.plans, *granted.plans}
         if plan is not None:
             self._plans[plan.digest] = plan
--- a/src/alderhatch/core/control/evacuations.py
+++ b/src/alderhatch/core/control/evacuations.py
@@ -13,7 +13,7 @@
     zones: tuple[str, ...] = ()
     """Sorted by name."""
 
-    def changed(self, number: int, zone: str, evacuate: bool) -> Evacuations:
+    def with_zone(self, number: int, zone: str, evacuate: bool) -> Evacuations:
         """Return what is in force after an order; the same object if the order changes nothing.
 
         Args:
--- a/src/alderhatch/core/control/forgotten_ids.py
+++ b/src/alderhatch/core/control/evicted_ids.py
@@ -33,7 +33,7 @@
     """In rising order."""
 
 
-class ForgottenIds:
+class EvictedIds:
     """Digests by the hour in which they were added; whole hours are dropped when their time is up.
 
     Sorted arrays hold a digest in 8 bytes where a set takes some 70, and the whole set is part of
@@ -81,7 +81,7 @@
         return {"sealed": sealed, "open": opened, "open_until": self._open_until}
 
     @classmethod
-    def from_plain(cls, plain: dict[str, Any]) -> ForgottenIds:
+    def from_plain(cls, plain: dict[str, Any]) -> EvictedIds:
         """Return the state that ``to_plain`` gave."""
         ids = cls()
         for until, packed in plain["sealed"]:
--- a/src/alderhatch/core/control/lease_table.py
+++ b/src/alderhatch/core/control/lease_table.py
@@ -129,19 +129,19 @@
         share = self._shares.grant(renewal.name, obeyed, renewal.wants_share, now)
         return Grant(renewal.sequence, self.lease, version, share.divisor, "", share.plans)
 
-    def take_run_out(self, now: Millis) -> list[EntryKey]:
+    def take_expired(self, now: Millis) -> list[EntryKey]:
         """Return the entries whose leases have run out, each once; they get no grant any more."""
         found = [h for h in self._holders.values() if not h.ending and now >= h.until]
         for holder in found:
             holder.ending = True
         return [holder.key for holder in found]
 
-    def retry_run_out(self) -> None:
-        """Let ``take_run_out`` give those again that could not be taken out."""
+    def retry_expired(self) -> None:
+        """Let ``take_expired`` give those again that could not be taken out."""
         for holder in self._holders.values():
             holder.ending = False
 
-    def waiting_for(self, version: int, now: Millis) -> list[str]:
+    def unconfirmed_entries(self, version: int, now: Millis) -> list[str]:
         """Return the entries that may serve and have not confirmed a version."""
         return [
             name
--- a/src/alderhatch/core/control/pace.py
+++ b/src/alderhatch/core/control/renewal_interval.py
@@ -8,7 +8,7 @@
 GAP_PER_ENTRY: Millis = 2.0
 
 
-def hurry_gap(entries: int) -> Millis:
+def min_renewal_interval(entries: int) -> Millis:
     """Return the least time between two renewals of one entry that are not due.
 
     When hundreds of entries start at once, each of them is news to all the others. Told at once
--- a/src/alderhatch/core/control/roster.py
+++ b/src/alderhatch/core/control/roster.py
@@ -24,7 +24,7 @@
     )
 
 
-def plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerPlan | None:
+def owner_plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerPlan | None:
     """Return the plan that holds for a roster.
 
     Args:
@@ -41,10 +41,10 @@
     return OwnerPlan(places, owners_per_server) if places else None
 
 
-def plan_of_hosts(hosts: HostTable, owners_per_server: int) -> OwnerPlan | None:
+def owner_plan_of_hosts(hosts: HostTable, owners_per_server: int) -> OwnerPlan | None:
     """Return the plan that holds for the entries that take part."""
     rows = (roster_row(hosts, name) for name in hosts.entries)
-    return plan_of_roster(rows, owners_per_server)
+    return owner_plan_of_roster(rows, owners_per_server)
 
 
 def control_places(hosts: HostTable) -> list[ControlPlace]:
--- a/src/alderhatch/core/control/rule_book.py
+++ b/src/alderhatch/core/control/rule_store.py
@@ -36,7 +36,7 @@
     change_id: str
 
 
-class RuleBook:
+class RuleStore:
     """The rules in force, with the history of each name, withdrawn ones included."""
 
     def __init__(self) -> None:
@@ -115,7 +115,7 @@
         return {"rules": self.rules.to_plain(), "events": events}
 
     @classmethod
-    def from_plain(cls, plain: dict[str, Any]) -> RuleBook:
+    def from_plain(cls, plain: dict[str, Any]) -> RuleStore:
         """Return the state that ``to_plain`` gave."""
         book = cls()
         book.rules = parse_rules(plain["rules"])
--- a/src/alderhatch/core/control/run_ledger.py
+++ b/src/alderhatch/core/control/run_ledger.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from ...clock import Millis
-from .forgotten_ids import ForgottenIds, id_digest
+from .evicted_ids import EvictedIds, id_digest
 from .operations import Claim, ClaimAnswer, ClaimStatus, EntryKey, RecordOutcome, ReleaseClaim
 from .request_time import issued_at
 
@@ -73,7 +73,7 @@
         self._records: OrderedDict[LedgerKey, RunRecord] = OrderedDict()
         self._in_progress: dict[LedgerKey, None] = {}
         self._outcome_bytes = 0
-        self._forgotten = ForgottenIds()
+        self._forgotten = EvictedIds()
 
     def claim(self, claim: Claim, now: Millis, horizon: Millis) -> ClaimAnswer:
         """Decide whether a request may run.
@@ -156,7 +156,7 @@
         self._in_progress.pop(key, None)
         return True
 
-    def holder_gone(self, holder: EntryKey) -> int:
+    def mark_outcomes_unknown(self, holder: EntryKey) -> int:
         """Mark what an entry held as of unknown outcome; return how many claims that were."""
         held = [
             key
@@ -200,7 +200,7 @@
             ledger._records[LedgerKey(row[0], row[1])] = record
             ledger._outcome_bytes += len(record.outcome or b"")
         ledger._in_progress = {LedgerKey(*key): None for key in plain["in_progress"]}
-        ledger._forgotten = ForgottenIds.from_plain(plain["ids"])
+        ledger._forgotten = EvictedIds.from_plain(plain["ids"])
         return ledger
 
     def _claim_new(self, key: LedgerKey, claim: Claim, now: Millis, horizon: Millis) -> ClaimAnswer:
--- a/src/alderhatch/entry/_control_session.py
+++ b/src/alderhatch/entry/_control_session.py
@@ -8,7 +8,7 @@
 import trio
 
 from ..clock import SECOND, Clock, Millis
-from ..core.control.entry_lease import EntryLease, Taken
+from ..core.control.entry_lease import EntryLease, GrantOutcome
 from ..core.control.lease_messages import (
     GrantReply,
     Nudge,
@@ -16,7 +16,7 @@
     OperationsFailed,
     RenewalFailed,
 )
-from ..core.control.pace import hurry_gap
+from ..core.control.renewal_interval import min_renewal_interval
 from ..link import Link, LinkClosedError
 from ..log import log_event
 from ..log_events import LogEvent
@@ -91,7 +91,7 @@
         self._hurry = hurry
         self._on_change = on_change
         self._answered = trio.Event()
-        self._taken: Taken | None = None
+        self._taken: GrantOutcome | None = None
         self._interval: Millis = 0.0
         self._answer_timeout = ANSWER_TIMEOUT
         self._denied = ""
@@ -122,7 +122,7 @@
                 # The connection may be silent for good while new ones work. Waiting for it would
                 # cost the lease, so the next control host is tried while there is time.
                 return
-            if self._taken is Taken.WENT_BACK:
+            if self._taken is GrantOutcome.WENT_BACK:
                 return
             if is_last and self._taken is not None:
                 # A renewal that arrived after the goodbye would register the entry again, and
@@ -134,11 +134,11 @@
 
     def _pause(self, has_news: bool) -> Millis:
         """Return how long to wait before the next renewal; news are confirmed at once."""
-        if self._taken is not Taken.RENEWED or not has_news:
+        if self._taken is not GrantOutcome.RENEWED or not has_news:
             return self._interval
         now = self._clock.now()
         pause = max(0.0, self._next_confirmation - now)
-        self._next_confirmation = now + pause + hurry_gap(len(self._lease.view.roster))
+        self._next_confirmation = now + pause + min_renewal_interval(len(self._lease.view.roster))
         return min(pause, self._interval)
 
     async def _read(self, link: Link, scope: trio.CancelScope) -> None:
@@ -157,7 +157,7 @@
                 self._interval = FAILED_INTERVAL
                 self._answered.set()
             case Nudge(version, updates) if version > self._lease.view.version:
-                if self._lease.take_pushed(updates):
+                if self._lease.apply_pushed_updates(updates):
                     self._on_change()
                 self._hurry.request()
             case OperationAnswers() | OperationsFailed():
@@ -166,20 +166,20 @@
                 return
 
     def _on_grant(self, reply: GrantReply) -> None:
-        taken = self._lease.take(reply, self._clock.now())
-        if taken is Taken.IGNORED:
+        taken = self._lease.apply_grant(reply, self._clock.now())
+        if taken is GrantOutcome.IGNORED:
             return
         self._taken = taken
         match taken:
-            case Taken.RENEWED:
+            case GrantOutcome.RENEWED:
                 self._failures = 0
                 lease = reply.grant.lease
                 self._interval = lease / RENEWALS_PER_LEASE
                 self._answer_timeout = min(ANSWER_TIMEOUT, lease / ANSWER_TIMEOUTS_PER_LEASE)
-            case Taken.WENT_BACK:
+            case GrantOutcome.WENT_BACK:
                 log_event(LogEvent.CONTROL_WENT_BACK, version=self._lease.view.version)
             case _:
-                self._interval = hurry_gap(len(self._lease.view.roster))
+                self._interval = min_renewal_interval(len(self._lease.view.roster))
                 self._note_problem(reply.grant.problem)
         self._answered.set()
         self._on_change()
--- a/src/alderhatch/entry/control_client.py
+++ b/src/alderhatch/entry/control_client.py
@@ -244,7 +244,7 @@
 
         Whatever does not get through in time is found out when the lease runs out.
         """
-        self._lease.leave()
+        self._lease.give_up_share()
         self._hurry.request_last()
         goodbye = RemoveEntries([EntryKey(self._me.name, self._me.incarnation)])
         with trio.move_on_after(timeout / SECOND):
@@ -310,7 +310,7 @@
                 self._served = serves
                 log_event(LogEvent.LEASE_TAKEN if serves else LogEvent.LEASE_LOST)
                 self.changed.notify()
-            if self._lease.drop_share_if_over(now):
+            if self._lease.release_share_if_expired(now):
                 self.changed.notify()
             ends = (self._lease.serve_until, self._lease.serve_until + SHARE_GRACE)
             next_end = min((end for end in ends if end > now), default=now + WATCH_INTERVAL)
--- a/src/alderhatch/node/configuration_desk.py
+++ b/src/alderhatch/node/configuration_desk.py
@@ -9,9 +9,9 @@
 from ..core.control.configuration_register import (
     ConfigurationRegister,
     StoredConfiguration,
-    encode_command,
+    encode_configuration,
     encode_evacuation,
-    pack,
+    pack_configuration,
 )
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..log import log_event
@@ -72,7 +72,7 @@
         """
         log = self._grown_log()
         began = self._clock.now()
-        result = await log.propose(encode_command(pack(version, document)))
+        result = await log.propose(encode_configuration(pack_configuration(version, document)))
         in_force = result if isinstance(result, int) else self._register.stored.version
         span = self._clock.now() - began
         self._on_accepted(span)
--- a/src/alderhatch/node/node.py
+++ b/src/alderhatch/node/node.py
@@ -129,7 +129,7 @@
         """This host's part in the replicated log; None without a disk."""
         self._server = TierServer(
             self.member,
-            lambda: self._register.orders,
+            lambda: self._register.directives,
             self._list_is_fresh,
             self._redirect,
             self._kept,
--- a/src/alderhatch/node/tier_news.py
+++ b/src/alderhatch/node/tier_news.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 from typing import Any, NamedTuple
 
-from ..core.control.configuration_register import StoredConfiguration, TierOrders
+from ..core.control.configuration_register import StoredConfiguration, TierDirectives
 from ..core.control.evacuations import NO_EVACUATIONS, Evacuations
 from ..core.forwarding.server_record import ServerRecord
 from .tier_messages import (
@@ -118,7 +118,7 @@
         self._refused_message = self._encode(QuarantineNews(fingerprints))
         return True
 
-    def since(self, told: Told, orders: TierOrders, duty: Duty) -> News:
+    def since(self, told: Told, orders: TierDirectives, duty: Duty) -> News:
         """Return what a host has to be told.
 
         Args:
--- a/src/alderhatch/node/tier_server.py
+++ b/src/alderhatch/node/tier_server.py
@@ -8,7 +8,7 @@
 
 from ..clock import SECOND, LoopClock, Millis
 from ..codec import Codec
-from ..core.control.configuration_register import TierOrders
+from ..core.control.configuration_register import TierDirectives
 from ..core.forwarding.caller_hosts import (
     MIN_TOLD,
     HostRecord,
@@ -103,7 +103,7 @@
     def __init__(
         self,
         member: ControlMember | None,
-        orders: Callable[[], TierOrders],
+        orders: Callable[[], TierDirectives],
         list_is_fresh: Callable[[], bool],
         redirect: Callable[[], Redirect],
         kept: Callable[[str], KeptNews | None],
