--- a/src/alderhatch/core/control/__init__.py
+++ b/src/alderhatch/core/control/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of control without I/O: state, run ledger, leases and connection shares."""
+"""Control plane logic without I/O: replicated state, run ledger, leases, connection shares."""
--- a/src/alderhatch/core/control/_change_application.py
+++ b/src/alderhatch/core/control/_change_application.py
@@ -1,4 +1,4 @@
-"""What each kind of change does to the state."""
+"""Applies operators' changes to the control state."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 from .rule_store import Author, RuleStore
 from .tier_settings import TierSettings, merge_settings, settings_to_plain
 
-MAX_NAMED = 5
-"""Entries that a refusal names at most."""
+MAX_LISTED_ENTRIES = 5
+"""Maximum number of entries that a refusal lists by name."""
 
 
 class ChangeableState(Protocol):
-    """The part of the state that operators change."""
+    """The part of the control state that operators can change."""
 
     settings: TierSettings
     rule_store: RuleStore
@@ -53,60 +53,60 @@
 
 
 class ChangeOutcome(NamedTuple):
-    """What a change that was taken did."""
+    """The effect of a change that was not refused."""
 
     changed: bool
     target: str
-    """The rule, setting or host that it is about."""
+    """The rule, setting or host that the change concerns."""
     summary: str
     patches: tuple[Patch, ...] = ()
-    """What entries are told of it."""
+    """The patches to publish to entries."""
 
 
 def apply_action(
     state: ChangeableState, action: Action, author: Author, quorum: Quorum
 ) -> ChangeOutcome:
-    """Carry out one action, wholly or not at all.
+    """Apply one action completely or not at all.
 
     Args:
-        state: The state, which is changed.
-        action: What to do.
-        author: Who does it, for the rules' history.
-        quorum: The control hosts as the leader knew them.
+        state: The state to modify.
+        action: The action to apply.
+        author: The author and revision, for the history of the rules.
+        quorum: The voting and unreachable control hosts as the leader knew them.
 
     Raises:
-        AlderhatchError: With the kind and field if the action does not fit the state.
-        RuleFaultsError: With every mistake of a rule or list of rules.
+        AlderhatchError: If the action is not valid for the state; names the kind and field.
+        RuleFaultsError: If rules are invalid; lists every fault.
     """
     match action:
         case AddRule(rule, position):
             name = str(rule.get("name", ""))
             after = state.rule_store.add(rule, position)
-            return _adopt(state, after, author, name, f"added rule {name}")
+            return _adopt_rules(state, after, author, name, f"added rule {name}")
         case EditRule(name, rule):
             after = state.rule_store.edit(name, rule)
-            return _adopt(state, after, author, name, f"edited rule {name}")
+            return _adopt_rules(state, after, author, name, f"edited rule {name}")
         case MoveRule(name, position):
             after = state.rule_store.move(name, position)
-            return _adopt(state, after, author, name, f"moved rule {name} to {position}")
+            return _adopt_rules(state, after, author, name, f"moved rule {name} to {position}")
         case WithdrawRule(name):
             after = state.rule_store.withdraw(name)
-            return _adopt(state, after, author, name, f"withdrew rule {name}")
+            return _adopt_rules(state, after, author, name, f"withdrew rule {name}")
         case ReplaceRules(rows):
             after = parse_rules(rows)
             summary = f"replaced the list by {len(rows)} rules"
-            return _adopt(state, after, author, "rules", summary)
+            return _adopt_rules(state, after, author, "rules", summary)
         case ChangeSettings(fields):
             return _change_settings(state, fields)
         case LiftQuarantine(fingerprint):
-            return _lift(state, fingerprint)
+            return _lift_quarantine(state, fingerprint)
         case _:
             before = control_places(state.hosts)
             outcome = _apply_host_action(state.hosts, action, author, quorum)
-            return _with_controls(outcome, before, control_places(state.hosts))
+            return _with_controls_patch(outcome, before, control_places(state.hosts))
 
 
-def _adopt(
+def _adopt_rules(
     state: ChangeableState, after: RuleList, author: Author, target: str, summary: str
 ) -> ChangeOutcome:
     before = state.rule_store.rules
@@ -122,26 +122,26 @@
     if settings == state.settings:
         return ChangeOutcome(False, target, "changed no setting")
     if settings.owners_per_server not in (0, state.settings.owners_per_server):
-        _check_links(state.hosts)
+        _check_entry_links(state.hosts)
     state.settings = settings
     values = ", ".join(f"{name} = {getattr(settings, name)}" for name in sorted(fields))
     patch = SettingsPatch(settings_to_plain(settings))
     return ChangeOutcome(True, target, f"set {values}", (patch,))
 
 
-def _check_links(hosts: HostTable) -> None:
-    # An entry without links owns nothing and reaches no owner. Once others go by owners it would
-    # refuse every query, seen only by its callers, as the change itself went well.
-    without = sorted(name for name, entry in hosts.entries.items() if not entry.link_port)
-    if not without:
+def _check_entry_links(hosts: HostTable) -> None:
+    # An entry without a link port owns no connections and cannot reach an owner. With owners
+    # enabled it would refuse every query, while the change itself is reported as successful.
+    unlinked = sorted(name for name, entry in hosts.entries.items() if not entry.link_port)
+    if not unlinked:
         return
-    named = ", ".join(without[:MAX_NAMED])
-    message = f"{len(without)} entries have no links in their settings: {named}"
+    listed = ", ".join(unlinked[:MAX_LISTED_ENTRIES])
+    message = f"{len(unlinked)} entries have no links in their settings: {listed}"
     field = "settings.owners_per_server"
     raise AlderhatchError(Failure(ErrorKind.INVALID_CHANGE, message, field))
 
 
-def _lift(state: ChangeableState, fingerprint: str) -> ChangeOutcome:
+def _lift_quarantine(state: ChangeableState, fingerprint: str) -> ChangeOutcome:
     if not state.crashes.lift(fingerprint):
         failure = Failure(ErrorKind.NOT_FOUND, f"{fingerprint!r} is not quarantined", "fingerprint")
         raise AlderhatchError(failure)
@@ -177,7 +177,7 @@
             summary = f"{replacement} takes the place of {host}"
             return _host_outcome(hosts, changed, host, summary, forced)
         case _:
-            raise AssertionError(f"no host action: {action!r}")
+            raise AssertionError(f"not a host action: {action!r}")
 
 
 def _host_outcome(
@@ -189,7 +189,7 @@
     return ChangeOutcome(changed, host, summary + (" (forced)" if forced else ""), patches)
 
 
-def _with_controls(
+def _with_controls_patch(
     outcome: ChangeOutcome, before: list[ControlPlace], after: list[ControlPlace]
 ) -> ChangeOutcome:
     if before == after:
--- a/src/alderhatch/core/control/actions.py
+++ b/src/alderhatch/core/control/actions.py
@@ -1,4 +1,4 @@
-"""What an operator may ask for: one message type for each kind of change."""
+"""The actions of operators: one message type for each kind of change."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HostRole(StrEnum):
-    """The kinds of host that an operator may send away."""
+    """The roles of hosts that an operator can declare as departed."""
 
     ENTRY = "entry"
     CONTROL = "control"
@@ -17,63 +17,63 @@
 
 
 class AddRule(NamedTuple):
-    """Put a new rule into the list."""
+    """Insert a new rule."""
 
     rule: dict[str, Any]
     position: int | None
-    """Counted from 1; None is the end."""
+    """Counted from 1; None appends the rule."""
 
 
 class EditRule(NamedTuple):
-    """Give a rule other conditions or another treatment; it keeps its place."""
+    """Replace the conditions and treatment of a rule; its position stays."""
 
     name: str
     rule: dict[str, Any]
 
 
 class MoveRule(NamedTuple):
-    """Put a rule at another place."""
+    """Move a rule to another position."""
 
     name: str
     position: int
 
 
 class WithdrawRule(NamedTuple):
-    """Take a rule out of the list; its history stays."""
+    """Remove a rule; its history is kept."""
 
     name: str
 
 
 class ReplaceRules(NamedTuple):
-    """Put another list in the place of the whole list."""
+    """Replace the whole list of rules."""
 
     rules: list[dict[str, Any]]
 
 
 class ChangeSettings(NamedTuple):
-    """Change some of the settings of the whole tier."""
+    """Change some of the tier-wide settings."""
 
     settings: dict[str, Any]
 
 
 class PlanStop(NamedTuple):
-    """Plan the stop of an entry or a control host."""
+    """Announce the planned stop of an entry or a control host."""
 
     host: str
     forced: bool
 
 
 class CancelStop(NamedTuple):
-    """Take back a planned stop or departure."""
+    """Cancel a planned stop or a departure."""
 
     host: str
 
 
 class DepartHost(NamedTuple):
-    """Declare that a host leaves for good."""
+    """Declare that a host leaves permanently."""
 
     host: str
-    """The host's name; for an upstream the id of one of its servers."""
+    """The host's name; for the role ``upstream`` the id of one of its servers."""
     role: HostRole
     upstream: str
     """The upstream's name; empty for other roles."""
@@ -81,14 +81,14 @@
 
 
 class ReturnServer(NamedTuple):
-    """Take back the departure of an upstream's server."""
+    """Cancel the departure of a server."""
 
     server: str
     upstream: str
 
 
 class RepairControl(NamedTuple):
-    """Declare that a control host is replaced by a new identity with an empty disk."""
+    """Replace a control host by a new member that starts with an empty disk."""
 
     host: str
     replacement: str
@@ -99,7 +99,7 @@
 
 
 class LiftQuarantine(NamedTuple):
-    """End a quarantine before its time."""
+    """End a quarantine before it expires."""
 
     fingerprint: str
 
@@ -133,7 +133,7 @@
     RepairControl,
     LiftQuarantine,
 )
-"""Turns actions into bytes and back."""
+"""Encodes and decodes actions."""
 
 _SNAKE_CASE = {
     AddRule: "add_rule",
@@ -152,5 +152,5 @@
 
 
 def action_name(action: Action) -> str:
-    """Return the name of an action's kind as the history shows it."""
+    """Return the name of an action's type as shown in the history."""
     return _SNAKE_CASE[type(action)]
--- a/src/alderhatch/core/control/change_history.py
+++ b/src/alderhatch/core/control/change_history.py
@@ -1,4 +1,4 @@
-"""The answers already given to changes, and the history of those that were accepted."""
+"""The answers given to changes, and the history of accepted changes."""
 
 from __future__ import annotations
 
@@ -9,56 +9,59 @@
 from ...codec import Codec
 from .operations import Change, ChangeAccepted, ChangeRefused, HistoryItem
 
-ANSWERS_KEPT = 4096
-"""How many changes are remembered; about three days at 1,300 a day."""
-HISTORY_KEPT = 2000
-WON_SHOWN = 20
-"""How many changes a refused operator is shown at most."""
-FAULTS_KEPT = 20
-"""How many mistakes of a refused change are remembered for its resend."""
+MAX_ANSWERS = 4096
+"""Answers kept for resent changes; about three days at 1,300 changes a day."""
+MAX_HISTORY_ITEMS = 2000
+MAX_CONFLICTS_RETURNED = 20
+"""Maximum number of conflicting changes in the answer to a refused change."""
+MAX_FAULTS_KEPT = 20
+"""Maximum number of faults kept for the resend of a refused change."""
 
 _CODEC = Codec(ChangeAccepted, ChangeRefused)
 
 
-class RememberedAnswer(NamedTuple):
-    """What a change was, and what was answered."""
+class StoredAnswer(NamedTuple):
+    """The digest of a change and its encoded answer."""
 
     digest: bytes
     answer: bytes
 
 
 def change_digest(change: Change) -> bytes:
-    """Return a digest of what the operator sent, without what the leader added to it."""
+    """Return a digest of the operator's part of a change, without the fields the leader adds."""
     text = f"{change.expected_revision}\n{change.who}\n".encode()
     return hashlib.blake2b(text + change.action, digest_size=16).digest()
 
 
 class ChangeHistory:
-    """Bounded memory of changes. A resent change gets its first answer from here."""
+    """Bounded store of answers and accepted changes.
+
+    A resent change gets the stored answer, so that it is applied only once.
+    """
 
     def __init__(self) -> None:
-        self._answers: OrderedDict[str, RememberedAnswer] = OrderedDict()
-        self._history: deque[HistoryItem] = deque(maxlen=HISTORY_KEPT)
+        self._answers: OrderedDict[str, StoredAnswer] = OrderedDict()
+        self._history: deque[HistoryItem] = deque(maxlen=MAX_HISTORY_ITEMS)
 
-    def answer_to(self, change: Change) -> ChangeAccepted | ChangeRefused | None:
-        """Return the first answer to a change id marked as repeated, or None if it is new."""
+    def stored_answer(self, change: Change) -> ChangeAccepted | ChangeRefused | None:
+        """Return the stored answer to a change id, marked as repeated, or None if it is new."""
         kept = self._answers.get(change.change_id)
         if kept is None:
             return None
         answer: ChangeAccepted | ChangeRefused = _CODEC.decode(kept.answer)
         return answer._replace(repeated=True)
 
-    def is_same(self, change: Change) -> bool:
-        """Return whether a remembered change id stood for the same change."""
+    def is_same_change(self, change: Change) -> bool:
+        """Return whether a known change id was used for the same change."""
         return self._answers[change.change_id].digest == change_digest(change)
 
-    def remember(self, change: Change, answer: ChangeAccepted | ChangeRefused) -> None:
-        """Keep an answer for resends, and forget the oldest."""
+    def store_answer(self, change: Change, answer: ChangeAccepted | ChangeRefused) -> None:
+        """Store an answer for resends and evict the oldest ones."""
         if isinstance(answer, ChangeRefused):
-            answer = answer._replace(faults=answer.faults[:FAULTS_KEPT])
-        kept = RememberedAnswer(change_digest(change), _CODEC.encode(answer))
+            answer = answer._replace(faults=answer.faults[:MAX_FAULTS_KEPT])
+        kept = StoredAnswer(change_digest(change), _CODEC.encode(answer))
         self._answers[change.change_id] = kept
-        while len(self._answers) > ANSWERS_KEPT:
+        while len(self._answers) > MAX_ANSWERS:
             self._answers.popitem(last=False)
 
     def record(self, item: HistoryItem) -> None:
@@ -66,30 +69,35 @@
         self._history.append(item)
 
     def since(self, revision: int) -> list[HistoryItem]:
-        """Return the changes accepted after a revision, newest first and bounded."""
+        """Return the latest changes accepted after a revision, newest first."""
         newer = [item for item in reversed(self._history) if item.revision > revision]
-        return newer[:WON_SHOWN]
+        return newer[:MAX_CONFLICTS_RETURNED]
 
     def page(self, before: int | None, limit: int) -> list[HistoryItem]:
-        """Return one page of the history, newest first, below a revision if one is given."""
+        """Return one page of the history, newest first.
+
+        Args:
+            before: Only changes with a lower revision are returned; None starts at the newest.
+            limit: The maximum number of changes.
+        """
         wanted = [i for i in reversed(self._history) if before is None or i.revision < before]
         return wanted[:limit]
 
     @property
     def oldest(self) -> int | None:
-        """The oldest revision that the history still shows."""
+        """The oldest revision in the history; None if it is empty."""
         return self._history[0].revision if self._history else None
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the whole state as plain maps and lists."""
+        """Return the state as plain maps and lists."""
         answers = [[key, kept.digest, kept.answer] for key, kept in self._answers.items()]
         return {"answers": answers, "history": [list(item) for item in self._history]}
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> ChangeHistory:
-        """Return the state that ``to_plain`` gave."""
+        """Return the state from the result of ``to_plain``."""
         memory = cls()
         for key, digest, answer in plain["answers"]:
-            memory._answers[key] = RememberedAnswer(digest, answer)
+            memory._answers[key] = StoredAnswer(digest, answer)
         memory._history.extend(HistoryItem(*item) for item in plain["history"])
         return memory
--- a/src/alderhatch/core/control/configuration_register.py
+++ b/src/alderhatch/core/control/configuration_register.py
@@ -1,4 +1,4 @@
-"""The state of a replicated log that holds one numbered configuration, and evacuations."""
+"""The replicated state that holds one versioned configuration and the evacuations."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class StoredConfiguration(NamedTuple):
-    """A configuration as it was sent, compressed."""
+    """A compressed configuration document."""
 
     version: int
-    """The number that the operator chose; 0 stands for none."""
+    """The version chosen by the operator; 0 means no configuration."""
     packed: bytes
 
     @property
     def document(self) -> bytes:
-        """The bytes that the operator sent."""
+        """The document as the operator sent it."""
         return zlib.decompress(self.packed)
 
 
@@ -28,64 +28,67 @@
 
 
 def pack_configuration(version: int, document: bytes) -> StoredConfiguration:
-    """Return a configuration as it is stored and passed on."""
+    """Return a configuration in its stored form."""
     return StoredConfiguration(version, zlib.compress(document))
 
 
 class TierDirectives(NamedTuple):
-    """Everything that operators have ordered and that is in force."""
+    """The configuration and evacuations that are in force."""
 
     configuration: StoredConfiguration
     evacuations: Evacuations
 
 
 def encode_configuration(stored: StoredConfiguration) -> bytes:
-    """Return the command that puts a configuration on the log."""
+    """Return the log command that stores a configuration."""
     return cbor2.dumps(list(stored))
 
 
 def encode_evacuation(zone: str, evacuate: bool) -> bytes:
-    """Return the command that evacuates an availability zone, or takes that back."""
+    """Return the log command that starts or ends the evacuation of an availability zone."""
     return cbor2.dumps([zone, evacuate])
 
 
 class ConfigurationRegister:
-    """Holds the configuration with the highest number, and which zones are evacuated.
+    """Holds the configuration with the highest version and the evacuated availability zones.
 
-    Operators choose the numbers, and a change may come again after its acknowledgement was lost,
-    or late after a newer one. So the order of the log does not decide which one is in force, the
-    number does, and what comes again is acknowledged without any effect. Evacuations have no number
-    of the operator's; there the order of the log decides.
+    Operators choose the versions. A configuration can be resent after its acknowledgement was lost,
+    or arrive after a newer one. Therefore the version, not the order of the log, decides which
+    configuration is in force, and a repeated one is acknowledged without effect. Evacuations have
+    no version chosen by the operator, so the order of the log decides.
 
     Args:
-        on_change: Called with each change of what is in force.
+        on_change: Called after each change of the configuration or the evacuations.
     """
 
     def __init__(self, on_change: Callable[[], None]) -> None:
         self._on_change = on_change
         self.stored = NO_CONFIGURATION
-        """The newest configuration."""
+        """The configuration with the highest version."""
         self.evacuations = NO_EVACUATIONS
         """The evacuated availability zones."""
 
     @property
     def directives(self) -> TierDirectives:
-        """What is in force."""
+        """The configuration and evacuations that are in force."""
         return TierDirectives(self.stored, self.evacuations)
 
     def apply(self, index: int, command: bytes) -> object:
-        """Take one committed change.
+        """Apply one committed command.
 
         Returns:
-            The number of the configuration that is in force afterwards, or after an order about an
-            availability zone all that are evacuated.
+            The version of the configuration in force, or after an evacuation command the names of
+            all evacuated availability zones.
+
+        Raises:
+            ValueError: If the command is neither a configuration nor an evacuation.
         """
         match cbor2.loads(command):
             case [str(zone), bool(evacuate)]:
                 return self._evacuate(index, zone, evacuate)
             case [version, packed]:
                 return self._store(StoredConfiguration(version, packed))
-        raise ValueError("a command of neither kind")
+        raise ValueError("command is neither a configuration nor an evacuation")
 
     def _store(self, stored: StoredConfiguration) -> int:
         if stored.version > self.stored.version:
@@ -101,13 +104,13 @@
         return self.evacuations.zones
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the state as bytes."""
         number, zones = self.evacuations
         return cbor2.dumps([*self.stored, number, list(zones)])
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by an earlier snapshot."""
-        # Snapshots of earlier releases end with the configuration.
+        """Replace the state by that of a snapshot."""
+        # Snapshots of earlier releases contain no evacuations.
         version, packed, *rest = cbor2.loads(data)
         self.stored = StoredConfiguration(version, packed)
         self.evacuations = Evacuations(rest[0], tuple(rest[1])) if rest else NO_EVACUATIONS
--- a/src/alderhatch/core/control/control_state.py
+++ b/src/alderhatch/core/control/control_state.py
@@ -1,4 +1,4 @@
-"""The state that the replicated log drives: the same on every control host."""
+"""The replicated state machine of the control hosts."""
 
 from __future__ import annotations
 
@@ -54,62 +54,62 @@
 from .tier_settings import TierSettings, merge_settings, settings_to_plain
 
 SNAPSHOT_FORMAT = 1
-VERSIONS_KEPT = 2000
+MAX_REVISIONS_KEPT = 2000
 
 
 class SnapshotFormatError(Exception):
-    """A snapshot was written by a version of the program that this one does not know."""
+    """A snapshot has a format that this version of the program cannot read."""
 
 
 class ControlState:
-    """Rules, settings, hosts, quarantines, run ledger, history. Driven by ``apply`` alone.
+    """Rules, settings, hosts, quarantines, run ledger and history. Changed only by ``apply``.
 
-    Time comes with each command from its proposer and never goes back, so that every host comes
-    to the same state whenever it applies the command.
+    The time is part of each command and never goes backwards, so that every host reaches the same
+    state regardless of when it applies the command.
     """
 
     def __init__(self) -> None:
         self.now: Millis = 0.0
-        """The time of the last command, in milliseconds since 1970."""
+        """The time of the last command, in milliseconds since 1970 (Unix epoch)."""
         self.revision = 0
-        """Counts accepted changes of the configuration; it never goes down."""
+        """The configuration's revision: the number of changes that had an effect."""
         self.settings = TierSettings()
-        """The settings of the whole tier."""
+        """The tier-wide settings."""
         self.rule_store = RuleStore()
         """The rules with their history."""
         self.hosts = HostTable()
         """Entries, control hosts and leaving servers."""
         self.crashes = CrashTable()
-        """Suspect and quarantined bodies."""
+        """Suspected and quarantined request bodies."""
         self.ledger = RunLedger()
-        """The runs of requests that may run at most once."""
+        """The runs of non-idempotent requests."""
         self.change_history = ChangeHistory()
-        """Answers to changes, and the history."""
+        """Answers to changes, and the accepted changes."""
         self.feed = Feed()
-        """What entries are told."""
+        """The updates for entries."""
         self._versions: dict[int, int] = {0: 0}
-        self._whole: tuple[int, bytes] | None = None
+        self._cached_view: tuple[int, bytes] | None = None
 
     def apply(self, index: int, command: bytes) -> list[Answer]:
         """Apply one command of the log.
 
         Args:
-            index: The command's place in the log.
+            index: The command's index in the log.
             command: An encoded ``Batch``.
 
         Returns:
-            The answer to each operation, in their order.
+            The answers to the operations, in order.
         """
         try:
             batch: Batch = BATCHES.decode(command)
         except AlderhatchError as exc:
             return [Noted(False, str(exc))]
         self.now = max(self.now, batch.at)
-        self._let_time_pass()
+        self._advance_time()
         return [self._apply_one(data) for data in batch.operations]
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the state as bytes."""
         plain = {
             "format": SNAPSHOT_FORMAT,
             "now": self.now,
@@ -126,14 +126,14 @@
         return cbor2.dumps(plain)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by an earlier snapshot.
+        """Replace the state by that of a snapshot.
 
         Raises:
-            SnapshotFormatError: If the snapshot is of an unknown format.
+            SnapshotFormatError: If the format of the snapshot is unknown.
         """
         plain = cbor2.loads(data)
         if plain.get("format") != SNAPSHOT_FORMAT:
-            raise SnapshotFormatError(f"format {plain.get('format')!r} of a snapshot is not known")
+            raise SnapshotFormatError(f"unknown snapshot format: {plain.get('format')!r}")
         self.now = plain["now"]
         self.revision = plain["revision"]
         self.settings = merge_settings(TierSettings(), plain["settings"])
@@ -144,29 +144,29 @@
         self.change_history = ChangeHistory.from_plain(plain["memory"])
         self.feed = Feed(plain["version"])
         self._versions = dict(plain["versions"])
-        self._whole = None
+        self._cached_view = None
 
     def version_of(self, revision: int) -> int:
-        """Return the feed's version at which a revision is in force.
+        """Return the feed version that contains a revision.
 
-        For a revision that is no longer kept it is the oldest kept one's, which is later.
+        For a revision that is no longer kept, return the version of the oldest kept revision.
         """
         if revision in self._versions:
             return self._versions[revision]
         return next(iter(self._versions.values()))
 
     def whole_view(self) -> bytes:
-        """Return everything that entries are told, encoded; made once for each version."""
-        if self._whole is None or self._whole[0] != self.feed.version:
-            self._whole = (self.feed.version, UPDATES.encode(self._make_whole()))
-        return self._whole[1]
+        """Return the encoded ``WholeView``; it is encoded once for each version."""
+        if self._cached_view is None or self._cached_view[0] != self.feed.version:
+            self._cached_view = (self.feed.version, UPDATES.encode(self._build_view()))
+        return self._cached_view[1]
 
     def updates_since(self, version: int) -> list[bytes]:
-        """Return the encoded updates that bring an entry from a version to the present one."""
+        """Return the encoded updates that lead from a version to the current one."""
         updates = self.feed.since(version)
         return [self.whole_view()] if updates is None else updates
 
-    def _make_whole(self) -> WholeView:
+    def _build_view(self) -> WholeView:
         hosts = self.hosts
         return WholeView(
             self.feed.version,
@@ -179,7 +179,7 @@
             control_places(hosts),
         )
 
-    def _let_time_pass(self) -> None:
+    def _advance_time(self) -> None:
         self.ledger.expire(self.now, self.settings.ledger_horizon_ms)
         ended = self.crashes.expire(self.now)
         if ended:
@@ -212,8 +212,8 @@
                 return Noted(isinstance(operation, KeepHouse))
 
     def _claim(self, claim: Claim) -> ClaimAnswer:
-        # A process whose lease was called run out may have lost its claims to "outcome unknown".
-        # Were it granted a new one meanwhile, nobody would watch over that claim if it dies.
+        # When a lease expires, the process is unregistered and its claims are marked as of unknown
+        # outcome. A claim granted to it after that would stay in progress if the process died.
         if not self.hosts.is_registered(EntryKey(claim.entry, claim.incarnation)):
             return ClaimAnswer(ClaimStatus.NOT_REGISTERED)
         return self.ledger.claim(claim, self.now, self.settings.ledger_horizon_ms)
@@ -230,11 +230,11 @@
 
     def _announce(self, control: AnnounceControl) -> Noted:
         before = control_places(self.hosts)
-        is_news = self.hosts.announce(control)
+        is_changed = self.hosts.announce(control)
         after = control_places(self.hosts)
         if after != before:
             self.feed.publish(self.revision, [ControlsPatch(after)])
-        return Noted(is_news)
+        return Noted(is_changed)
 
     def _remove(self, entries: Sequence[EntryKey]) -> Noted:
         removed = [key for key in entries if self.hosts.remove(key, self.now)]
@@ -251,14 +251,14 @@
         return Noted(True)
 
     def _change(self, change: Change) -> ChangeAccepted | ChangeRefused:
-        first = self.change_history.answer_to(change)
-        if first is not None and self.change_history.is_same(change):
-            return first
-        if first is not None:
+        earlier = self.change_history.stored_answer(change)
+        if earlier is not None and self.change_history.is_same_change(change):
+            return earlier
+        if earlier is not None:
             message = f"change id {change.change_id!r} was used for another change"
             return self._refusal(ErrorKind.INVALID_CHANGE, message, "change_id")
         answer = self._decide(change)
-        self.change_history.remember(change, answer)
+        self.change_history.store_answer(change, answer)
         return answer
 
     def _decide(self, change: Change) -> ChangeAccepted | ChangeRefused:
@@ -300,14 +300,14 @@
     def _publish_change(self, patches: Sequence[Patch]) -> None:
         self.feed.publish(self.revision, patches)
         self._versions[self.revision] = self.feed.version
-        while len(self._versions) > VERSIONS_KEPT:
+        while len(self._versions) > MAX_REVISIONS_KEPT:
             del self._versions[next(iter(self._versions))]
 
     def _refusal(self, kind: ErrorKind, message: str, field: str | None) -> ChangeRefused:
         return ChangeRefused(str(kind), message, field, self.revision, [], [])
 
     def to_dump(self) -> dict[str, Any]:
-        """Return the state for a person on call: bounded, without bodies or outcomes."""
+        """Return a bounded dump of the state for operators, without bodies and outcomes."""
         return {
             "now_ms": self.now,
             "revision": self.revision,
--- a/src/alderhatch/core/control/crash_table.py
+++ b/src/alderhatch/core/control/crash_table.py
@@ -1,4 +1,4 @@
-"""Request bodies that crash the servers that run them: counted tier-wide, then quarantined."""
+"""Tier-wide counts of server crashes by request body, and the resulting quarantines."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 MAX_SUSPECTS = 2000
 MAX_QUARANTINES = 1000
-SAME_CRASH: Millis = 2 * SECOND
-"""Reports of one server within this span are one crash, seen by several entries."""
+SAME_CRASH_WINDOW: Millis = 2 * SECOND
+"""Reports about one server within this time count as one crash seen by several entries."""
 
 
 class Crash(NamedTuple):
-    """One crash of one server."""
+    """A crash of a server."""
 
     at: Millis
     server: str
 
 
 class Quarantine(NamedTuple):
-    """A body that is not run anywhere for a time."""
+    """A request body that no entry sends until the quarantine ends."""
 
     fingerprint: str
     since: Millis
     until: Millis
     servers: tuple[str, ...]
-    """The ids of the servers that crashed."""
+    """The ids of the servers that crashed on the body."""
 
 
 class CrashTable:
-    """Counts crashes for each fingerprint and says which are quarantined. Bounded."""
+    """Counts crashes by fingerprint and quarantines fingerprints. Bounded."""
 
     def __init__(self) -> None:
         self._crashes: OrderedDict[str, tuple[Crash, ...]] = OrderedDict()
@@ -41,22 +41,22 @@
 
     @property
     def quarantines(self) -> tuple[Quarantine, ...]:
-        """The quarantines that hold, oldest first."""
+        """The active quarantines, oldest first."""
         return tuple(self._quarantines.values())
 
     @property
     def suspects(self) -> dict[str, tuple[Crash, ...]]:
-        """Fingerprints with crashes that are not quarantined."""
+        """The crashes of fingerprints that are not quarantined."""
         return dict(self._crashes)
 
     def report(self, report: ReportCrash, now: Millis, settings: TierSettings) -> bool:
-        """Count a crash; return whether the fingerprint is quarantined because of it."""
+        """Count a crash; return whether it puts the fingerprint under quarantine."""
         if report.fingerprint in self._quarantines:
             return False
         crash = Crash(now, report.server)
         crashes = self._crashes.pop(report.fingerprint, ())
         crashes = tuple(c for c in crashes if c.at + settings.crash_window_ms > now)
-        if not any(_is_same(c, crash) for c in crashes):
+        if not any(_is_same_crash(c, crash) for c in crashes):
             crashes = (*crashes, crash)
         if len(crashes) < settings.crash_limit:
             self._crashes[report.fingerprint] = crashes
@@ -73,7 +73,7 @@
         return self._quarantines.pop(fingerprint, None) is not None
 
     def expire(self, now: Millis) -> list[str]:
-        """End the quarantines whose time is up, or that are too many; return their fingerprints."""
+        """End quarantines that have expired or exceed the bound; return their fingerprints."""
         ended = [q.fingerprint for q in self._quarantines.values() if q.until <= now]
         excess = len(self._quarantines) - len(ended) - MAX_QUARANTINES
         if excess > 0:
@@ -85,18 +85,18 @@
 
     @property
     def next_end(self) -> Millis | None:
-        """When the next quarantine ends."""
+        """When the next quarantine ends; None if there is none."""
         return min((q.until for q in self._quarantines.values()), default=None)
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the whole state as plain maps and lists."""
+        """Return the state as plain maps and lists."""
         crashes = [[key, [list(c) for c in kept]] for key, kept in self._crashes.items()]
         quarantines = [[*q[:3], list(q.servers)] for q in self._quarantines.values()]
         return {"crashes": crashes, "quarantines": quarantines}
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> CrashTable:
-        """Return the state that ``to_plain`` gave."""
+        """Return the state from the result of ``to_plain``."""
         table = cls()
         for key, kept in plain["crashes"]:
             table._crashes[key] = tuple(Crash(*c) for c in kept)
@@ -106,5 +106,5 @@
         return table
 
 
-def _is_same(one: Crash, other: Crash) -> bool:
-    return one.server == other.server and abs(one.at - other.at) < SAME_CRASH
+def _is_same_crash(one: Crash, other: Crash) -> bool:
+    return one.server == other.server and abs(one.at - other.at) < SAME_CRASH_WINDOW
--- a/src/alderhatch/core/control/entry_view.py
+++ b/src/alderhatch/core/control/entry_view.py
@@ -1,4 +1,4 @@
-"""The state as one entry has it, which only ever moves forward."""
+"""An entry's copy of the control state; its version only increases."""
 
 from __future__ import annotations
 
@@ -35,41 +35,41 @@
     rules: RuleList = field(default_factory=RuleList)
     settings: TierSettings = field(default_factory=TierSettings)
     roster: dict[str, RosterEntry] = field(default_factory=dict)
-    """The entries that take part, by name, leaving ones included."""
+    """The registered entries by name, including those that are leaving."""
     quarantines: frozenset[str] = frozenset()
-    """Fingerprints of bodies that are not run."""
+    """Fingerprints of quarantined request bodies."""
     leaving: frozenset[LeavingServer] = frozenset()
-    """Servers that get no new work."""
+    """Servers that get no new requests."""
     controls: tuple[ControlPlace, ...] = ()
-    """The control hosts that take part."""
+    """The control hosts to connect to."""
 
     def advanced(self, data: bytes) -> EntryView:
-        """Return the view after one encoded update or whole view.
+        """Return the view after an encoded ``Update`` or ``WholeView``.
 
-        An update for an older version than this one changes nothing.
+        Data that does not go beyond the version of this view is ignored.
 
         Raises:
-            AlderhatchError: ``bad_request`` if the update does not follow on this version.
+            AlderhatchError: ``bad_request`` if the update is not based on this version.
         """
         match UPDATES.decode(data):
             case WholeView() as whole:
-                return self if whole.version <= self.version else _from_whole(whole)
+                return self if whole.version <= self.version else _from_whole_view(whole)
             case Update() as update if update.version <= self.version:
                 return self
             case Update() as update if update.base == self.version:
                 return self._patched(update)
             case _:
-                message = f"the update does not follow on version {self.version}"
+                message = f"the update is not based on version {self.version}"
                 raise AlderhatchError(Failure(ErrorKind.BAD_REQUEST, message, "base"))
 
     def _patched(self, update: Update) -> EntryView:
         view = replace(self, version=update.version, revision=max(self.revision, update.revision))
         for data in update.patches:
-            view = replace(view, **_changes(view, PATCHES.decode(data)))
+            view = replace(view, **_patched_fields(view, PATCHES.decode(data)))
         return view
 
 
-def _changes(view: EntryView, patch: Patch) -> dict[str, Any]:
+def _patched_fields(view: EntryView, patch: Patch) -> dict[str, Any]:
     match patch:
         case RulesPatch(start, removed, inserted):
             rows = view.rules.to_plain()
@@ -88,7 +88,7 @@
             return {"controls": tuple(controls)}
 
 
-def _from_whole(whole: WholeView) -> EntryView:
+def _from_whole_view(whole: WholeView) -> EntryView:
     return EntryView(
         whole.version,
         whole.revision,
--- a/src/alderhatch/core/control/evacuations.py
+++ b/src/alderhatch/core/control/evacuations.py
@@ -1,4 +1,4 @@
-"""Which availability zones operators have evacuated: nothing is sent to their servers."""
+"""Evacuated availability zones: no request is sent to their servers."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Evacuations(NamedTuple):
-    """The evacuated availability zones, as the replicated log has them."""
+    """The evacuated availability zones at one index of the replicated log."""
 
     number: int = 0
-    """Goes up with each change; 0 before the first one."""
+    """Increases with each change; 0 before the first one."""
     zones: tuple[str, ...] = ()
-    """Sorted by name."""
+    """The names in sorted order."""
 
     def with_zone(self, number: int, zone: str, evacuate: bool) -> Evacuations:
-        """Return what is in force after an order; the same object if the order changes nothing.
+        """Return the evacuations after one directive; the same object if nothing changes.
 
         Args:
-            number: What the order is numbered by if it changes anything.
+            number: The number of the result if anything changes.
             zone: The availability zone.
-            evacuate: Whether it is to get nothing, or to be used again.
+            evacuate: True to evacuate the zone, False to use it again.
         """
         if (zone in self.zones) == evacuate:
             return self
--- a/src/alderhatch/core/control/evicted_ids.py
+++ b/src/alderhatch/core/control/evicted_ids.py
@@ -1,4 +1,4 @@
-"""Digests of request ids whose records are gone, so that an old id is not taken for a new one."""
+"""Digests of request ids whose records were dropped, to tell old ids from new ones."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 from ...clock import DAY, HOUR, Millis
 
-KEPT: Millis = DAY
-"""How long a digest is kept."""
+RETENTION: Millis = DAY
+"""Minimum time for which a digest is kept."""
 MAX_DIGESTS = 500_000
-"""8 bytes each in the sealed buckets."""
+"""A digest in a sealed bucket takes 8 bytes."""
 BUCKET_SPAN: Millis = HOUR
 DIGEST_BYTES = 8
 
@@ -26,18 +26,18 @@
 
 
 class _Sealed(NamedTuple):
-    """A bucket that takes no more digests."""
+    """A closed bucket, to which no digests are added."""
 
     until: Millis
     digests: array[int]
-    """In rising order."""
+    """In ascending order."""
 
 
 class EvictedIds:
-    """Digests by the hour in which they were added; whole hours are dropped when their time is up.
+    """Digests in buckets of one hour; a bucket is dropped as a whole when it expires.
 
-    Sorted arrays hold a digest in 8 bytes where a set takes some 70, and the whole set is part of
-    every snapshot.
+    Sealed buckets are sorted arrays, which need 8 bytes for a digest instead of about 70 in a set.
+    All digests are part of every snapshot.
     """
 
     def __init__(self) -> None:
@@ -52,15 +52,15 @@
     def __contains__(self, digest: int) -> bool:
         if digest in self._open:
             return True
-        return any(_has(bucket.digests, digest) for bucket in self._sealed)
+        return any(_contains(bucket.digests, digest) for bucket in self._sealed)
 
     @property
-    def full(self) -> bool:
-        """Whether one more could only be remembered by forgetting another too early."""
+    def is_full(self) -> bool:
+        """Whether another digest would only fit if one were dropped too early."""
         return len(self) >= MAX_DIGESTS
 
     def add(self, digest: int, now: Millis) -> None:
-        """Remember a digest for at least ``KEPT`` from now."""
+        """Keep a digest for at least ``RETENTION`` from now."""
         if self._open and now >= self._open_until:
             self._seal()
         if not self._open:
@@ -68,21 +68,21 @@
         self._open.add(digest)
 
     def expire(self, now: Millis) -> None:
-        """Drop the buckets whose time is up."""
+        """Drop the expired buckets."""
         if self._open and now >= self._open_until:
             self._seal()
         while self._sealed and self._sealed[0].until <= now:
             self._sealed_count -= len(self._sealed.popleft().digests)
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the whole state as plain maps, lists and bytes."""
+        """Return the state as plain maps, lists and bytes."""
         sealed = [[bucket.until, _pack(bucket.digests)] for bucket in self._sealed]
         opened = _pack(array("Q", sorted(self._open)))
         return {"sealed": sealed, "open": opened, "open_until": self._open_until}
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> EvictedIds:
-        """Return the state that ``to_plain`` gave."""
+        """Return the state from the result of ``to_plain``."""
         ids = cls()
         for until, packed in plain["sealed"]:
             ids._sealed.append(_Sealed(until, _unpack(packed)))
@@ -93,12 +93,12 @@
 
     def _seal(self) -> None:
         digests = array("Q", sorted(self._open))
-        self._sealed.append(_Sealed(self._open_until + KEPT, digests))
+        self._sealed.append(_Sealed(self._open_until + RETENTION, digests))
         self._sealed_count += len(digests)
         self._open = set()
 
 
-def _has(digests: array[int], digest: int) -> bool:
+def _contains(digests: array[int], digest: int) -> bool:
     index = bisect_left(digests, digest)
     return index < len(digests) and digests[index] == digest
 
--- a/src/alderhatch/core/control/feed.py
+++ b/src/alderhatch/core/control/feed.py
@@ -1,4 +1,4 @@
-"""What entries are told of the state: whole, or as the changes since the version they have."""
+"""The control state as published to entries: whole, or as updates since their version."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 
 MAX_UPDATES = 512
 MAX_UPDATE_BYTES = 256 * 1024
-"""More than this is sent as the whole state instead."""
+"""Older updates are dropped; entries that lack them get the whole view."""
 
 
 class RosterEntry(NamedTuple):
-    """An entry as the other entries and callers know it."""
+    """An entry as published to other entries and callers."""
 
     name: str
     zone: str
     address: str
     port: int
     leaving: bool
-    """True once its stop is planned: callers are no longer sent to it."""
+    """True once its stop is planned: callers are no longer directed to it."""
     link_address: str = ""
     link_port: int = 0
-    """Where it takes links of other entries; 0 if it takes none."""
+    """The port for links from other entries; 0 if it accepts none."""
 
 
 class LeavingServer(NamedTuple):
-    """A server that gets no new work."""
+    """A server that gets no new requests."""
 
     upstream: str
     server: str
 
 
 class ControlPlace(NamedTuple):
-    """Where a control host accepts links."""
+    """The address at which a control host accepts links."""
 
     name: str
     address: str
@@ -44,7 +44,7 @@
 
 
 class RulesPatch(NamedTuple):
-    """Takes rules out of the list at one place and puts others there."""
+    """Replaces a range of the rule list."""
 
     start: int
     removed: int
@@ -52,34 +52,34 @@
 
 
 class SettingsPatch(NamedTuple):
-    """The tier-wide settings, whole."""
+    """Replaces the tier-wide settings."""
 
     settings: dict[str, Any]
 
 
 class RosterPatch(NamedTuple):
-    """Entries that are new or changed, and names that are gone."""
+    """New or changed entries, and the names of removed ones."""
 
     changed: list[RosterEntry]
     removed: list[str]
 
 
 class QuarantinePatch(NamedTuple):
-    """Fingerprints that are quarantined from now on, and those that no longer are."""
+    """Fingerprints whose quarantine starts or ends."""
 
     added: list[str]
     lifted: list[str]
 
 
 class LeavingPatch(NamedTuple):
-    """Servers that get no new work from now on, and those that do again."""
+    """Servers that start to leave, and those that are used again."""
 
     added: list[LeavingServer]
     returned: list[LeavingServer]
 
 
 class ControlsPatch(NamedTuple):
-    """The control hosts, whole."""
+    """Replaces the list of control hosts."""
 
     controls: list[ControlPlace]
 
@@ -90,7 +90,7 @@
 
 
 class Update(NamedTuple):
-    """The step from one version to the next."""
+    """The patches from one version to the next."""
 
     base: int
     version: int
@@ -99,7 +99,7 @@
 
 
 class WholeView(NamedTuple):
-    """Everything entries are told, at one version."""
+    """The complete published state at one version."""
 
     version: int
     revision: int
@@ -114,14 +114,14 @@
 PATCHES = Codec(
     RulesPatch, SettingsPatch, RosterPatch, QuarantinePatch, LeavingPatch, ControlsPatch
 )
-"""Turns patches into bytes and back."""
+"""Encodes and decodes patches."""
 
 UPDATES = Codec(Update, WholeView)
-"""Turns updates and whole views into bytes and back."""
+"""Encodes and decodes updates and whole views."""
 
 
 def rules_patch(before: RuleList, after: RuleList) -> RulesPatch:
-    """Return the smallest replacement at one place that turns one list into another."""
+    """Return the smallest replacement of a single range that turns one list into another."""
     old, new = before.to_plain(), after.to_plain()
     limit = min(len(old), len(new))
     start = 0
@@ -134,20 +134,20 @@
 
 
 class Feed:
-    """The last updates, encoded once however many entries get them."""
+    """The latest updates, each encoded once for all entries."""
 
     def __init__(self, version: int = 0) -> None:
         self.version = version
-        """Counts what entries are told; it never goes down."""
+        """The number of published updates; never decreases."""
         self._updates: deque[tuple[int, bytes]] = deque()
         self._bytes = 0
 
     def publish(self, revision: int, patches: Sequence[Patch]) -> None:
-        """Move to the next version.
+        """Publish the next version.
 
         Args:
             revision: The configuration's revision at that version.
-            patches: What changed for entries; may be empty if only the revision did.
+            patches: The changes; empty if only the revision changes.
         """
         encoded = [PATCHES.encode(patch) for patch in patches]
         update = Update(self.version, self.version + 1, revision, encoded)
@@ -159,11 +159,11 @@
             self._bytes -= len(self._updates.popleft()[1])
 
     def since(self, version: int) -> list[bytes] | None:
-        """Return the updates that lead from a version to the present one.
+        """Return the updates that lead from a version to the current one.
 
         Returns:
-            The encoded updates in order; None if they are no longer kept, or the version is not
-            one of this feed, so that the whole view has to be sent.
+            The encoded updates in order; None if the whole view has to be sent because they are no
+            longer kept or the version is not one of this feed.
         """
         if version == self.version:
             return []
--- a/src/alderhatch/core/control/host_table.py
+++ b/src/alderhatch/core/control/host_table.py
@@ -1,4 +1,4 @@
-"""Which hosts take part, and what operators have declared about them."""
+"""The registered hosts and what operators have declared about them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EntryRecord(NamedTuple):
-    """A process of an entry that may hold a lease."""
+    """A registered entry process, which may hold a lease."""
 
     name: str
     incarnation: str
@@ -26,11 +26,11 @@
     registered_at: Millis
     link_address: str = ""
     link_port: int = 0
-    """Where it takes links of other entries; 0 if it takes none."""
+    """The port for links from other entries; 0 if it accepts none."""
 
 
 class ControlRecord(NamedTuple):
-    """A control host and what was declared about it."""
+    """A control host and its declared state."""
 
     name: str
     zone: str
@@ -41,11 +41,11 @@
     mark: str
     """Empty, ``stopping``, ``departing`` or ``replaced``."""
     joins_for: str
-    """The host that this one replaces, until it has."""
+    """The host that this one replaces, if any."""
 
 
 class Quorum(NamedTuple):
-    """The control hosts as the leader knew them when it proposed a change."""
+    """The voting and the unreachable control hosts when the leader proposed a change."""
 
     voters: tuple[str, ...]
     down: tuple[str, ...]
@@ -54,26 +54,26 @@
 class HostTable:
     """Entries, control hosts and leaving upstream servers.
 
-    The checks of planned stops are made here, on the state in which the change is applied, so that
-    two stops which are each harmless alone can't both be taken.
+    Planned stops are checked here, against the state to which the change is applied. Thus two stops
+    that are each harmless alone cannot both be accepted if together they are not.
     """
 
     def __init__(self) -> None:
         self.entries: dict[str, EntryRecord] = {}
-        """The entries that may hold a lease, by name."""
+        """The registered entries by name."""
         self.controls: dict[str, ControlRecord] = {}
-        """The control hosts that have announced themselves or were declared, by name."""
+        """The control hosts that announced themselves or were declared, by name."""
         self.stopping: dict[str, str] = {}
-        """Entries that are to stop: ``stopping`` or, for good, ``departing``, by name."""
+        """Entries with a planned stop by name: ``stopping``, or ``departing`` if permanent."""
         self.departed: dict[str, Millis] = {}
-        """Entries that have left for good, with the time; they get no lease."""
+        """The time at which each departed entry left; departed entries get no lease."""
         self.leaving_servers: dict[tuple[str, str], Millis] = {}
-        """Servers that get no new work, by upstream and id."""
+        """Servers that get no new requests, with the time, by upstream and server id."""
         self.last_removal: Millis | None = None
-        """When an entry was last taken out; None if that never happened."""
+        """When an entry was last removed; None if never."""
 
     def register(self, entry: RegisterEntry, now: Millis) -> str | None:
-        """Let a process of an entry take part; return why not, if it may not."""
+        """Register an entry process; return the reason if it is refused, else None."""
         if entry.name in self.departed:
             return f"{entry.name} has departed"
         if entry.name not in self.entries and len(self.entries) >= MAX_ENTRIES:
@@ -87,12 +87,12 @@
         return None
 
     def is_registered(self, key: EntryKey) -> bool:
-        """Return whether a process of an entry takes part."""
+        """Return whether an entry process is registered."""
         known = self.entries.get(key.name)
         return known is not None and known.incarnation == key.incarnation
 
     def remove(self, key: EntryKey, now: Millis) -> bool:
-        """Take out a process of an entry; return whether it took part."""
+        """Remove an entry process; return whether it was registered."""
         if not self.is_registered(key):
             return False
         del self.entries[key.name]
@@ -104,9 +104,9 @@
         return True
 
     def announce(self, control: AnnounceControl) -> bool:
-        """Note where a control host is reached; return whether that is news.
+        """Store the addresses of a control host; return whether they changed.
 
-        A host that announces itself has started, so that a planned stop of it is over.
+        A host that announces itself has started, which completes a planned stop.
         """
         known = self.controls.get(control.name)
         if known is None and len(self.controls) >= MAX_CONTROLS:
@@ -121,7 +121,8 @@
         """Plan a stop; return whether that changes anything.
 
         Raises:
-            AlderhatchError: ``not_found``, or ``stop_refused`` if it takes too much.
+            AlderhatchError: ``not_found``, or ``stop_refused`` if the stop would take the quorum or
+                the last serving entry of an availability zone.
         """
         if action.host in self.entries:
             return self._stop_entry(action.host, "stopping", action.forced)
@@ -130,7 +131,7 @@
         raise _not_found(f"no entry or control host {action.host!r}")
 
     def cancel_stop(self, action: CancelStop) -> bool:
-        """Take back a stop or departure; return whether that changes anything.
+        """Cancel a stop or departure; return whether that changes anything.
 
         Raises:
             AlderhatchError: ``not_found`` if no such host is known.
@@ -164,12 +165,12 @@
                 raise _not_found(f"no {action.role} host {action.host!r}")
 
     def return_server(self, action: ReturnServer) -> bool:
-        """Use a leaving server again; return whether that changes anything."""
+        """Cancel the departure of a server; return whether that changes anything."""
         key = (action.upstream, action.server)
         return self.leaving_servers.pop(key, None) is not None
 
     def repair(self, action: RepairControl, quorum: Quorum) -> bool:
-        """Declare that a new identity takes a control host's place.
+        """Declare that a new member replaces a control host.
 
         Raises:
             AlderhatchError: ``not_found``, ``stop_refused`` or ``invalid_change``.
@@ -177,8 +178,8 @@
         if action.host not in self.controls:
             raise _not_found(f"no control host {action.host!r}")
         if action.replacement in self.controls:
-            # A name that was used before may stand for votes that its old disk gave. A host with
-            # an empty disk under that name could vote twice in one term and undo a commit.
+            # A member with this name may have voted before. With an empty disk it could vote a
+            # second time in the same term, which could undo a committed entry.
             message = f"{action.replacement!r} was used before; a new disk needs a new name"
             raise _invalid("replacement.name", message)
         if not action.forced:
@@ -191,7 +192,7 @@
         return True
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the whole state as plain maps and lists."""
+        """Return the state as plain maps and lists."""
         return {
             "entries": [list(record) for record in self.entries.values()],
             "controls": [list(record) for record in self.controls.values()],
@@ -203,7 +204,7 @@
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> HostTable:
-        """Return the state that ``to_plain`` gave."""
+        """Return the state from the result of ``to_plain``."""
         table = cls()
         table.entries = {row[0]: EntryRecord(*row) for row in plain["entries"]}
         table.controls = {row[0]: ControlRecord(*row) for row in plain["controls"]}
--- a/src/alderhatch/core/control/lease_messages.py
+++ b/src/alderhatch/core/control/lease_messages.py
@@ -1,4 +1,4 @@
-"""What entries and control hosts say to each other."""
+"""The messages between entries and control hosts."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class Renewal(NamedTuple):
-    """An entry asks for its lease to be renewed, and says what it has in force."""
+    """A request to renew an entry's lease, with the version and share in use."""
 
     sequence: int
-    """Counts the renewals of this process. Only the answer to the last one is of use."""
+    """The number of this process's renewal; only the answer to the latest one is used."""
     name: str
     incarnation: str
     zone: str
     address: str
     port: int
     version: int
-    """The feed's version that the entry has in force."""
+    """The feed version in force at the entry."""
     share: int
-    """The divisor of the connection shares that it obeys; 0 is no connection."""
+    """The divisor of the connection share in use; 0 allows no connection."""
     wants_share: bool
-    """False once it is about to exit, so that its share is free as soon as it has gone."""
+    """False once the process is about to exit, so that its share is not renewed."""
     plans: tuple[int, ...] = ()
-    """The digests of the plans of owners that it obeys along with the divisor."""
+    """The digests of the owner plans in use along with the divisor."""
     link_address: str = ""
     link_port: int = 0
-    """Where it takes links of other entries; 0 if it takes none."""
+    """The port for links from other entries; 0 if it accepts none."""
 
     def registration(self) -> RegisterEntry:
-        """Return what puts the process that asks on the log."""
+        """Return the operation that registers the process."""
         return RegisterEntry(
             self.name,
             self.incarnation,
@@ -44,64 +44,64 @@
 
 
 class Grant(NamedTuple):
-    """The leader's answer to one renewal, without the state that goes with it."""
+    """The leader's answer to one renewal, without the updates."""
 
     sequence: int
     lease: Millis
-    """Counted from when the renewal was sent; 0 is no lease yet, ask again at once."""
+    """Counted from the sending of the renewal; 0 means no lease yet, renew again immediately."""
     version: int
-    """The entry has to be at this version, or a later one, before the lease counts."""
+    """The lease is valid only once the entry is at this version or a later one."""
     share: int
     problem: str
-    """Why there is no lease, if that is for good."""
+    """Why there is no lease, if it is refused permanently."""
     plans: tuple[int, ...] = ()
-    """The plans of owners that go with the share."""
+    """The digests of the owner plans of the share."""
 
 
 class GrantReply(NamedTuple):
-    """A grant on its way to the entry, with what brings it to the version asked for."""
+    """A grant with the updates that bring the entry to the grant's version."""
 
     term: int
-    """The leader's term; a grant of an older one is ignored."""
+    """The leader's term; grants of older terms are ignored."""
     grant: Grant
     updates: list[bytes]
 
 
 class RenewalFailed(NamedTuple):
-    """No leader answered; the control host itself can't grant anything."""
+    """No leader answered, and the control host cannot grant leases itself."""
 
     sequence: int
     message: str
 
 
 class Nudge(NamedTuple):
-    """There is a newer version; the entry renews at once rather than at its next turn."""
+    """Announces a newer version; the entry renews immediately to confirm it."""
 
     version: int
     updates: list[bytes]
-    """What leads there from the version that the entry was sent last, if it is little.
+    """The updates since the version last sent to the entry, if they are small.
 
-    It is in use before the renewal that confirms it. A body that crashes servers is resent within
-    milliseconds, and each entry that does not know of its quarantine yet may lose two more.
+    They take effect before the renewal that confirms them. A body that crashes servers is resent
+    within milliseconds, and each entry without the quarantine may lose two more servers to it.
     """
 
 
 class Operations(NamedTuple):
-    """Operations for the log, from an entry or passed on by another control host."""
+    """Operations for the log, sent by an entry or forwarded by another control host."""
 
     number: int
     operations: list[bytes]
 
 
 class OperationAnswers(NamedTuple):
-    """The answers to operations, in their order."""
+    """The answers to operations, in order."""
 
     number: int
     answers: list[bytes]
 
 
 class OperationsFailed(NamedTuple):
-    """Operations that got no answer; the kind says whether they may be in the log."""
+    """Operations without an answer; the kind tells whether they may have been committed."""
 
     number: int
     kind: str
@@ -109,14 +109,14 @@
 
 
 class RelayedRenewals(NamedTuple):
-    """Renewals that a control host passes on to the leader together."""
+    """A batch of renewals that a control host forwards to the leader."""
 
     number: int
     renewals: list[Renewal]
 
 
 class RelayedGrants(NamedTuple):
-    """The leader's answers to relayed renewals, in their order."""
+    """The leader's answers to relayed renewals, in order."""
 
     number: int
     term: int
@@ -124,7 +124,7 @@
 
 
 class RelayFailed(NamedTuple):
-    """The host that was taken for the leader can't grant anything."""
+    """The receiving host is not the leader and cannot grant leases."""
 
     number: int
     message: str
@@ -143,4 +143,4 @@
     RelayedGrants,
     RelayFailed,
 )
-"""The messages of this protocol, for the codec of the links."""
+"""All message types of this protocol."""
--- a/src/alderhatch/core/control/lease_table.py
+++ b/src/alderhatch/core/control/lease_table.py
@@ -1,4 +1,4 @@
-"""The leases that the leader has granted. Soft state: a new leader starts with an empty table."""
+"""The leases granted by the leader. Soft state, rebuilt by each new leader."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from .lease_messages import Grant, Renewal
 from .operations import EntryKey
 
-DRIFT = 0.1
-"""The leader waits this much longer than the lease, as a fraction, before it calls it run out.
+CLOCK_DRIFT_MARGIN = 0.1
+"""Fraction of the lease that the leader waits in addition before it treats a lease as expired.
 
-Two clocks that run at different rates would otherwise let an entry serve on while the leader
-already takes its rules as replaced and its connections as closed.
+Without it, an entry whose clock runs slower than the leader's could still serve while the leader
+already considers its rules replaced and its connections closed.
 """
 SHARE_GRACE: Millis = 2 * SECOND
-"""After its lease an entry may finish what runs for this long, then it closes its connections."""
-REMOVAL_REMEMBERED: Millis = MINUTE
+"""Time after its lease in which an entry may finish requests; then it closes its connections."""
+RECENT_REMOVAL_WINDOW: Millis = MINUTE
 
 
 class LeaseState(StrEnum):
-    """What the leader knows of an entry's lease."""
+    """The leader's knowledge of an entry's lease."""
 
     LIVE = "live"
     UNKNOWN = "unknown"
-    """This leader has not heard from it; an earlier one may have granted it a lease."""
+    """No renewal has reached this leader; an earlier leader may have granted a lease."""
     RUN_OUT = "run_out"
 
 
 class LeaseView(NamedTuple):
-    """One entry's lease; for dumps and operators."""
+    """The state of one entry's lease, for dumps and operators."""
 
     state: LeaseState
     left: Millis
-    """How long the entry may serve at most."""
+    """The maximum time for which the entry may still serve."""
     version: int | None
-    """The version that it has confirmed to this leader."""
+    """The version that the entry has confirmed to this leader."""
     share: int | None
 
 
@@ -47,17 +47,17 @@
 class _Holder:
     key: EntryKey
     until: Millis
-    """After this time, on the leader's clock, the entry certainly does not serve."""
+    """From this time on, by the leader's clock, the entry certainly does not serve."""
     version: int | None = None
     sequence: int = -1
     ending: bool = False
 
 
 class LeaseTable:
-    """Decides on renewals, and which leases have run out.
+    """Answers renewals and determines which leases have expired.
 
-    It may be asked for grants only while the leader's own lease holds, so that a leader which
-    was replaced without noticing can't extend anything.
+    Grants may be requested only while the leader's own lease is valid, so that a leader that was
+    replaced without noticing cannot extend leases.
     """
 
     def __init__(
@@ -67,82 +67,82 @@
         since_removal: Millis | None,
         now: Millis,
     ) -> None:
-        """Start as a new leader.
+        """Start the table of a new leader.
 
-        Every entry that takes part may have been granted a lease by the leader before, up to this
-        moment. So each of them counts as live until a whole lease has passed or it has renewed.
+        The previous leader may have granted a lease to any registered entry until now. Each entry
+        therefore counts as live until it has renewed or a full lease has passed.
 
         Args:
             lease: How long an entry may serve after it sent its renewal.
-            registered: The entries that take part.
-            since_removal: How long ago an entry was last taken out; None if never.
+            registered: The registered entries.
+            since_removal: The time since an entry was last removed; None if never.
             now: The leader's time.
         """
         self.lease = lease
-        self._span = lease * (1 + DRIFT)
-        recent = since_removal is not None and since_removal < REMOVAL_REMEMBERED
+        self._expiry_delay = lease * (1 + CLOCK_DRIFT_MARGIN)
+        recent = since_removal is not None and since_removal < RECENT_REMOVAL_WINDOW
         self._shares = ConnectionShares(now + SHARE_GRACE if recent else now)
         self._holders: dict[str, _Holder] = {}
         for key in registered:
-            self._holders[key.name] = _Holder(key, now + self._span)
+            self._holders[key.name] = _Holder(key, now + self._expiry_delay)
             self._shares.add(key.name, None)
 
     def sync(self, registered: Mapping[str, EntryKey], now: Millis) -> None:
-        """Take in the entries that were registered, and drop those that were taken out."""
+        """Add newly registered entries and drop removed ones."""
         for name, holder in list(self._holders.items()):
             if registered.get(name) != holder.key:
                 del self._holders[name]
                 self._shares.remove(name, max(now, holder.until) + SHARE_GRACE)
         for name, key in registered.items():
             if name not in self._holders:
-                self._holders[name] = _Holder(key, now + self._span)
+                self._holders[name] = _Holder(key, now + self._expiry_delay)
                 self._shares.add(name, Share(NO_SHARE))
 
     def set_plan(self, digest: int | None) -> None:
-        """Go by a plan of owners from now on; None makes every entry an owner."""
+        """Set the target owner plan; None makes every entry an owner."""
         self._shares.plan = digest
 
     def renew(self, renewal: Renewal, version: int, now: Millis) -> Grant | None:
-        """Decide on a renewal.
+        """Answer a renewal.
 
         Args:
-            renewal: What the entry sent.
-            version: The feed's version at the leader.
-            now: The leader's time; a moment at which the leader's own lease holds.
+            renewal: The entry's renewal.
+            version: The feed version at the leader.
+            now: The leader's time, at which the leader's own lease is valid.
 
         Returns:
-            The grant; one with a lease of 0 if the entry is not registered (yet); None if the
-            renewal is older than one already seen, so that it gets no answer.
+            The grant, with a lease of 0 if the entry is not registered; None if the renewal is
+            older than one already received and gets no answer.
         """
         holder = self._holders.get(renewal.name)
         key = EntryKey(renewal.name, renewal.incarnation)
         if holder is None or holder.key != key or holder.ending:
             return Grant(renewal.sequence, 0.0, version, renewal.share, "")
         if renewal.sequence <= holder.sequence:
-            # It was overtaken on its way through another control host. Its word on the share is
-            # out of date, and the entry takes no answer to it any more.
+            # A newer renewal overtook this one, which was relayed by another control host. The
+            # share that it reports is out of date, and the entry ignores an answer to it.
             return None
         holder.sequence = renewal.sequence
         holder.version = max(renewal.version, holder.version or 0)
-        holder.until = now + self._span
-        obeyed = Share(renewal.share, renewal.plans)
-        share = self._shares.grant(renewal.name, obeyed, renewal.wants_share, now)
+        holder.until = now + self._expiry_delay
+        in_use = Share(renewal.share, renewal.plans)
+        share = self._shares.grant(renewal.name, in_use, renewal.wants_share, now)
         return Grant(renewal.sequence, self.lease, version, share.divisor, "", share.plans)
 
     def take_expired(self, now: Millis) -> list[EntryKey]:
-        """Return the entries whose leases have run out, each once; they get no grant any more."""
+        """Return the entries whose leases have expired, each once; they get no more grants."""
         found = [h for h in self._holders.values() if not h.ending and now >= h.until]
         for holder in found:
             holder.ending = True
         return [holder.key for holder in found]
 
     def retry_expired(self) -> None:
-        """Let ``take_expired`` give those again that could not be taken out."""
+        """Let ``take_expired`` return those entries again that could not be removed."""
         for holder in self._holders.values():
             holder.ending = False
 
     def unconfirmed_entries(self, version: int, now: Millis) -> list[str]:
-        """Return the entries that may serve and have not confirmed a version."""
+        """Return the entries that may still serve and have not confirmed a version."""
         return [
             name
             for name, holder in self._holders.items()
@@ -150,12 +150,12 @@
         ]
 
     def next_end(self, now: Millis) -> Millis | None:
-        """Return when the next lease runs out if nobody renews."""
+        """Return when the next lease expires without renewals; None if there is none."""
         ends = [h.until for h in self._holders.values() if h.until > now]
         return min(ends, default=None)
 
     def view(self, name: str, now: Millis) -> LeaseView:
-        """Return what is known of one entry's lease."""
+        """Return the state of one entry's lease."""
         holder = self._holders.get(name)
         if holder is None or now >= holder.until:
             return LeaseView(LeaseState.RUN_OUT, 0.0, None, None)
--- a/src/alderhatch/core/control/operations.py
+++ b/src/alderhatch/core/control/operations.py
@@ -1,4 +1,4 @@
-"""What stands in the replicated log: batches of operations, and the answer to each operation."""
+"""The commands of the replicated log: batches of operations, and the answers to them."""
 
 from __future__ import annotations
 
@@ -10,69 +10,69 @@
 
 
 class Batch(NamedTuple):
-    """One command of the log: operations that were waiting at the same time."""
+    """One command of the log with all operations that were pending at the same time."""
 
     at: Millis
-    """The proposer's time in milliseconds since 1970; the state never lets it go back."""
+    """The proposer's time in milliseconds since 1970; ignored if before the state's time."""
     operations: list[bytes]
 
 
 class Change(NamedTuple):
-    """An operator's change."""
+    """A change requested by an operator."""
 
     change_id: str
     expected_revision: int
     who: str
     voters: list[str]
-    """The voting control hosts as the leader knew them when it proposed the change."""
+    """The voting control hosts when the leader proposed the change."""
     down: list[str]
-    """The control hosts that the leader did not hear from then."""
+    """The control hosts that the leader could not reach at that time."""
     action: bytes
     """An action, encoded by ``ACTIONS``."""
 
 
 class RegisterEntry(NamedTuple):
-    """A process of an entry starts to take part; it gets no lease before this is committed."""
+    """Registers an entry process; it gets no lease before this is committed."""
 
     name: str
     incarnation: str
-    """New for each start of the process."""
+    """Unique for each start of the process."""
     zone: str
     address: str
     port: int
     link_address: str = ""
     link_port: int = 0
-    """Where it takes links of other entries; 0 if it takes none."""
+    """The port for links from other entries; 0 if it accepts none."""
 
 
 class EntryKey(NamedTuple):
-    """One process of an entry."""
+    """Identifies an entry process."""
 
     name: str
     incarnation: str
 
 
 class RemoveEntries(NamedTuple):
-    """Entries whose leases have run out, or which have stopped."""
+    """Removes entries whose leases have expired or that have stopped."""
 
     entries: list[EntryKey]
 
 
 class Claim(NamedTuple):
-    """An entry asks to run a request that may run at most once."""
+    """An entry requests permission to run a non-idempotent request."""
 
     caller: str
     request_id: str
     fingerprint: str
-    """Of the request's body; another body under the same id is refused."""
+    """The fingerprint of the request body; another body with the same id is refused."""
     entry: str
     incarnation: str
     token: str
-    """Names this sending; the same claim with the same token gets the same answer."""
+    """Identifies this attempt; a repeated claim with the same token gets the same answer."""
 
 
 class RecordOutcome(NamedTuple):
-    """The holder of a claim stores the answer that resends are to get."""
+    """The holder of a claim stores the answer for resends."""
 
     caller: str
     request_id: str
@@ -81,7 +81,7 @@
 
 
 class ReleaseClaim(NamedTuple):
-    """The holder of a claim says that no byte of the request was sent."""
+    """The holder of a claim reports that no byte of the request was sent."""
 
     caller: str
     request_id: str
@@ -89,7 +89,7 @@
 
 
 class ReportCrash(NamedTuple):
-    """An entry saw a server crash while it ran a body with this fingerprint."""
+    """An entry reports that a server crashed while it ran a body with this fingerprint."""
 
     fingerprint: str
     server: str
@@ -98,7 +98,7 @@
 
 
 class AnnounceControl(NamedTuple):
-    """A control host says where it is reached."""
+    """A control host announces its addresses."""
 
     name: str
     zone: str
@@ -109,7 +109,7 @@
 
 
 class KeepHouse(NamedTuple):
-    """Lets time pass, so that quarantines end when nothing else is proposed."""
+    """Advances the time, so that quarantines end when nothing else is proposed."""
 
 
 Operation: TypeAlias = (
@@ -126,7 +126,7 @@
 
 
 class HistoryItem(NamedTuple):
-    """One accepted change: who, when, what."""
+    """One accepted change in the history."""
 
     revision: int
     at: Millis
@@ -138,7 +138,7 @@
 
 
 class FaultItem(NamedTuple):
-    """One mistake in a change's list of rules."""
+    """One fault in a change's rules."""
 
     position: int
     rule: str
@@ -147,19 +147,19 @@
 
 
 class ChangeAccepted(NamedTuple):
-    """The answer to a change that was taken."""
+    """The answer to an accepted change."""
 
     change_id: str
     revision: int
     version: int
-    """The feed's version at which every entry has to be for the change to be in force."""
+    """The feed version that every entry has to reach for the change to be in force."""
     at: Millis
     changed: bool
     repeated: bool = False
 
 
 class ChangeRefused(NamedTuple):
-    """The answer to a change that was not taken; nothing of it is applied."""
+    """The answer to a refused change, of which nothing is applied."""
 
     kind: str
     """One of ``ErrorKind``."""
@@ -168,26 +168,26 @@
     current_revision: int
     faults: list[FaultItem]
     won: list[HistoryItem]
-    """What was accepted since the expected revision, newest first."""
+    """The changes accepted since the expected revision, newest first."""
     repeated: bool = False
 
 
 class ClaimStatus(StrEnum):
-    """What becomes of a claim."""
+    """The decision on a claim."""
 
     GRANTED = "granted"
-    """The holder of the token, and no one else, may run the request."""
+    """Only the holder of the token may run the request."""
     STORED = "stored"
     IN_PROGRESS = "in_progress"
     OUTCOME_UNKNOWN = "outcome_unknown"
     REUSED = "reused"
     TOO_OLD = "too_old"
     NOT_REGISTERED = "not_registered"
-    """The entry's process is not one that holds a lease; certainly not granted."""
+    """The entry process is not registered; the claim is certainly not granted."""
     FULL = "full"
-    """The ledger can't remember one more; certainly not granted."""
+    """The ledger has no room; the claim is certainly not granted."""
     WITHDRAWN = "withdrawn"
-    """The claim with this token was released before."""
+    """The token was released or refused before."""
 
 
 class ClaimAnswer(NamedTuple):
@@ -195,14 +195,14 @@
 
     status: ClaimStatus
     outcome: bytes | None = None
-    """The stored answer, for ``stored``."""
+    """The stored answer if the status is ``stored``."""
 
 
 class Noted(NamedTuple):
     """The answer to all other operations."""
 
     applied: bool
-    """False if the operation did not fit the state any more; it changed nothing then."""
+    """False if the operation was no longer valid for the state and changed nothing."""
     message: str = ""
 
 
@@ -219,10 +219,10 @@
     AnnounceControl,
     KeepHouse,
 )
-"""Turns single operations into bytes and back."""
+"""Encodes and decodes single operations."""
 
 BATCHES = Codec(Batch)
-"""Turns the commands of the log into bytes and back."""
+"""Encodes and decodes the commands of the log."""
 
 ANSWERS_CODEC = Codec(ChangeAccepted, ChangeRefused, ClaimAnswer, Noted)
-"""Turns answers into bytes and back."""
+"""Encodes and decodes answers."""
--- a/src/alderhatch/core/control/renewal_interval.py
+++ b/src/alderhatch/core/control/renewal_interval.py
@@ -1,22 +1,23 @@
-"""How often entries may be hurried, so that many changes at once can't overload control."""
+"""Rate limit for early renewals, so that many simultaneous changes cannot overload control."""
 
 from __future__ import annotations
 
 from ...clock import Millis
 
-MIN_GAP: Millis = 50.0
-GAP_PER_ENTRY: Millis = 2.0
+MIN_INTERVAL: Millis = 50.0
+INTERVAL_PER_ENTRY: Millis = 2.0
 
 
 def min_renewal_interval(entries: int) -> Millis:
-    """Return the least time between two renewals of one entry that are not due.
+    """Return the minimum time between two early renewals of one entry.
 
-    When hundreds of entries start at once, each of them is news to all the others. Told at once
-    every time, all of them renew without a pause, each renewal brings more news, and the control
-    hosts are too busy to grant a lease in time. With the gap growing with their number, all the
-    entries together make at most 500 such renewals a second.
+    When hundreds of entries start at once, each start is an update for all others. If every update
+    caused an immediate renewal, all entries would renew continuously, each renewal would deliver
+    further updates, and the control hosts would be too busy to grant leases in time. The interval
+    grows with the number of entries, so that all of them together send at most 500 early renewals
+    a second.
 
     Args:
-        entries: How many entries take part.
+        entries: The number of registered entries.
     """
-    return max(MIN_GAP, GAP_PER_ENTRY * entries)
+    return max(MIN_INTERVAL, INTERVAL_PER_ENTRY * entries)
--- a/src/alderhatch/core/control/roster.py
+++ b/src/alderhatch/core/control/roster.py
@@ -1,4 +1,4 @@
-"""The entries and control hosts as entries are told of them, and the plan of owners."""
+"""Entries and control hosts as published to entries, and the owner plan."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def roster_row(hosts: HostTable, name: str) -> RosterEntry:
-    """Return how an entry that takes part is shown to the others."""
+    """Return a registered entry as published to the others."""
     record = hosts.entries[name]
     leaving = name in hosts.stopping
     return RosterEntry(
@@ -25,15 +25,16 @@
 
 
 def owner_plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerPlan | None:
-    """Return the plan that holds for a roster.
+    """Return the owner plan for a roster.
 
     Args:
-        roster: The entries that take part.
-        owners_per_server: The tier's setting; 0 makes every entry an owner.
+        roster: The registered entries.
+        owners_per_server: The tier-wide setting; 0 makes every entry an owner.
 
     Returns:
-        The plan; None if every entry owns connections to every server. That is also so while no
-        entry that stays takes links: nobody could reach a server through another one.
+        The plan; None if every entry may hold connections to every server. This is also the case
+        while no entry accepts links, except leaving ones, because no server could be reached
+        through another entry.
     """
     if not owners_per_server:
         return None
@@ -42,16 +43,16 @@
 
 
 def owner_plan_of_hosts(hosts: HostTable, owners_per_server: int) -> OwnerPlan | None:
-    """Return the plan that holds for the entries that take part."""
+    """Return the owner plan for the registered entries."""
     rows = (roster_row(hosts, name) for name in hosts.entries)
     return owner_plan_of_roster(rows, owners_per_server)
 
 
 def control_places(hosts: HostTable) -> list[ControlPlace]:
-    """Return where entries reach control, by name.
+    """Return the addresses of the control hosts that entries may connect to, sorted by name.
 
-    A replacement is told of once it has announced itself: before that it has no way to a leader,
-    and an entry that went to it would lose time of its lease.
+    A replacement is included once it has announced itself. Before that it cannot reach a leader,
+    and an entry connected to it would lose part of its lease.
     """
     return [
         ControlPlace(record.name, record.address, record.port)
--- a/src/alderhatch/core/control/rule_store.py
+++ b/src/alderhatch/core/control/rule_store.py
@@ -1,4 +1,4 @@
-"""The rule list under change: every step keeps the order checked and each rule's history."""
+"""The list of rules, the changes to it, and the history of each rule."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ..rule_list import RuleList, parse_rules, rule_to_plain
 
 EVENTS_PER_RULE = 32
-"""How many events of each rule are kept."""
-MAX_NAMES = 4096
-"""How many names keep a history; the longest withdrawn go first."""
+"""Maximum number of events kept for each rule."""
+MAX_RULE_NAMES = 4096
+"""Maximum number of names with a history; those withdrawn longest ago are dropped first."""
 
 
 class RuleEvent(NamedTuple):
-    """What happened to one rule."""
+    """A change of one rule."""
 
     revision: int
     at: Millis
@@ -28,7 +28,7 @@
 
 
 class Author(NamedTuple):
-    """Who makes a change, and under which number."""
+    """The author of a change, with its revision and time."""
 
     revision: int
     at: Millis
@@ -37,7 +37,7 @@
 
 
 class RuleStore:
-    """The rules in force, with the history of each name, withdrawn ones included."""
+    """The rules in force, and the history of each rule name including withdrawn ones."""
 
     def __init__(self) -> None:
         self.rules = RuleList()
@@ -45,33 +45,33 @@
         self._events: OrderedDict[str, list[RuleEvent]] = OrderedDict()
 
     def position(self, name: str) -> int | None:
-        """Return a rule's place, counted from 1, or None if there is no such rule."""
+        """Return a rule's position, counted from 1, or None if there is no such rule."""
         for index, rule in enumerate(self.rules.rules, start=1):
             if rule.name == name:
                 return index
         return None
 
     def events(self, name: str) -> tuple[RuleEvent, ...]:
-        """Return what is kept of a name's history, oldest first."""
+        """Return the kept events of a name, oldest first."""
         return tuple(self._events.get(name, ()))
 
     def add(self, rule: dict[str, Any], position: int | None) -> RuleList:
-        """Return the list with one rule more.
+        """Return the list with a rule added.
 
         Raises:
-            AlderhatchError: ``invalid_change`` if the place is not in the list.
-            RuleFaultsError: If the rule has mistakes or its name is taken.
+            AlderhatchError: ``invalid_change`` if the position is out of range.
+            RuleFaultsError: If the rule is invalid or its name is taken.
         """
         rows = self.rules.to_plain()
-        index = len(rows) if position is None else _index(position, len(rows) + 1)
+        index = len(rows) if position is None else _index_of_position(position, len(rows) + 1)
         return parse_rules([*rows[:index], rule, *rows[index:]])
 
     def edit(self, name: str, rule: dict[str, Any]) -> RuleList:
-        """Return the list with one rule changed in its place.
+        """Return the list with one rule replaced at its position.
 
         Raises:
             AlderhatchError: ``not_found``, or ``invalid_change`` if the rule has another name.
-            RuleFaultsError: If the rule has mistakes.
+            RuleFaultsError: If the rule is invalid.
         """
         index = self._index_of(name)
         if rule.get("name") != name:
@@ -80,14 +80,14 @@
         return parse_rules([*rows[:index], rule, *rows[index + 1 :]])
 
     def move(self, name: str, position: int) -> RuleList:
-        """Return the list with one rule at another place.
+        """Return the list with one rule at another position.
 
         Raises:
-            AlderhatchError: ``not_found``, or ``invalid_change`` if the place is not in the list.
+            AlderhatchError: ``not_found``, or ``invalid_change`` if the position is out of range.
         """
         index = self._index_of(name)
         rules = list(self.rules.rules)
-        target = _index(position, len(rules))
+        target = _index_of_position(position, len(rules))
         rules.insert(target, rules.pop(index))
         return RuleList(rules)
 
@@ -102,21 +102,21 @@
         return RuleList([*rules[:index], *rules[index + 1 :]])
 
     def adopt(self, rules: RuleList, author: Author) -> None:
-        """Put a list in force and note what happened to each of its rules."""
+        """Put a list in force and record an event for each rule that changed."""
         before = self.rules
         for name, action in _differences(before, rules):
-            self._note(name, RuleEvent(*author, action))
+            self._add_event(name, RuleEvent(*author, action))
         self.rules = rules
-        self._forget_oldest()
+        self._trim_events()
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the whole state as plain maps and lists."""
+        """Return the state as plain maps and lists."""
         events = [[name, [list(event) for event in kept]] for name, kept in self._events.items()]
         return {"rules": self.rules.to_plain(), "events": events}
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> RuleStore:
-        """Return the state that ``to_plain`` gave."""
+        """Return the state from the result of ``to_plain``."""
         book = cls()
         book.rules = parse_rules(plain["rules"])
         for name, kept in plain["events"]:
@@ -130,23 +130,23 @@
             raise AlderhatchError(failure)
         return position - 1
 
-    def _note(self, name: str, event: RuleEvent) -> None:
+    def _add_event(self, name: str, event: RuleEvent) -> None:
         kept = self._events.setdefault(name, [])
         kept.append(event)
         del kept[:-EVENTS_PER_RULE]
         self._events.move_to_end(name)
 
-    def _forget_oldest(self) -> None:
-        # Generated names would otherwise let the history of withdrawn rules grow without end.
+    def _trim_events(self) -> None:
+        # With generated names the history of withdrawn rules would otherwise grow without bound.
         in_force = {rule.name for rule in self.rules.rules}
         for name in list(self._events):
-            if len(self._events) <= MAX_NAMES:
+            if len(self._events) <= MAX_RULE_NAMES:
                 return
             if name not in in_force:
                 del self._events[name]
 
 
-def _index(position: int, limit: int) -> int:
+def _index_of_position(position: int, limit: int) -> int:
     if not 1 <= position <= limit:
         raise _invalid("position", f"{position} is not from 1 to {limit}")
     return position - 1
@@ -169,16 +169,18 @@
 
 
 def _moved(old: list[str], new: list[str]) -> list[str]:
-    """Return the names, present in both lists, that stand elsewhere among the others.
+    """Return the names in both lists that have moved relative to the others.
 
-    One rule that moves shifts all that it passes. Taking it out and comparing the rest tells it
-    from those; where more than one moved, all that stand elsewhere are named.
+    Moving one rule shifts all rules that it passes. To find the moved rule, the lists are compared
+    without it; if several rules moved, every name at a changed position is returned.
     """
     kept_old = [name for name in old if name in set(new)]
     kept_new = [name for name in new if name in set(old)]
     if kept_old == kept_new:
         return []
-    first = next(i for i, pair in enumerate(zip(kept_old, kept_new, strict=True)) if _differ(pair))
+    first = next(
+        i for i, pair in enumerate(zip(kept_old, kept_new, strict=True)) if _is_different(pair)
+    )
     for name in (kept_new[first], kept_old[first]):
         if [n for n in kept_old if n != name] == [n for n in kept_new if n != name]:
             return [name]
@@ -189,5 +191,5 @@
     ]
 
 
-def _differ(pair: tuple[str, str]) -> bool:
+def _is_different(pair: tuple[str, str]) -> bool:
     return pair[0] != pair[1]
--- a/src/alderhatch/core/control/run_ledger.py
+++ b/src/alderhatch/core/control/run_ledger.py
@@ -1,4 +1,4 @@
-"""The run ledger: which requests that may run at most once were claimed, and how they ended."""
+"""The run ledger: claims of non-idempotent requests, and the outcomes of their runs."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 MAX_RECORDS = 20_000
 MAX_OUTCOME_BYTES = 32 * 1024
-"""A larger outcome is not kept: a resend is told that the request ran and its answer is gone."""
+"""A larger outcome is not stored; a resend is answered with an unknown outcome."""
 MAX_TOTAL_OUTCOME_BYTES = 16 * 1024 * 1024
 MAX_RELEASED_TOKENS = 16
 
 
 class RunState(StrEnum):
-    """How far a claimed request has got."""
+    """The state of a claimed request."""
 
     IN_PROGRESS = "in_progress"
     DONE = "done"
     UNKNOWN = "unknown"
-    """The holder's lease ran out before it said how the run ended."""
+    """The holder's lease expired before it reported an outcome."""
     RELEASED = "released"
-    """The holder said that no byte was sent; the id may be claimed again."""
+    """The holder reported that no byte was sent; the id may be claimed again."""
 
 
 class LedgerKey(NamedTuple):
-    """Names one request that may run at most once."""
+    """Identifies a non-idempotent request."""
 
     caller: str
     request_id: str
@@ -39,10 +39,10 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """What the ledger knows of one request."""
+    """The ledger's record of one request."""
 
     fingerprint: str
-    """Of the body; empty if only a release has been seen."""
+    """The fingerprint of the body; empty if only a release was received."""
     state: RunState
     entry: str
     incarnation: str
@@ -50,11 +50,11 @@
     claimed_at: Millis
     outcome: bytes | None = None
     released: tuple[str, ...] = ()
-    """Tokens released or turned away; a claim of theirs that arrives late is not granted."""
+    """Tokens that were released or refused; their claims are not granted if they arrive late."""
 
 
 class LedgerCounts(NamedTuple):
-    """The ledger's size; for dumps and metrics."""
+    """The size of the ledger, for dumps and metrics."""
 
     records: int
     in_progress: int
@@ -65,26 +65,26 @@
 class RunLedger:
     """Records by (caller, request id), bounded in age, number and bytes.
 
-    A request runs only after its claim was granted, and each claim is granted to one token. What
-    is dropped leaves a digest behind, so that an id that was used is never taken for a new one.
+    A request runs only after its claim is granted, and a claim is granted to one token only. For a
+    dropped record a digest of the id is kept, so that a used id is not treated as a new one.
     """
 
     def __init__(self) -> None:
         self._records: OrderedDict[LedgerKey, RunRecord] = OrderedDict()
         self._in_progress: dict[LedgerKey, None] = {}
         self._outcome_bytes = 0
-        self._forgotten = EvictedIds()
+        self._evicted_ids = EvictedIds()
 
     def claim(self, claim: Claim, now: Millis, horizon: Millis) -> ClaimAnswer:
         """Decide whether a request may run.
 
         Args:
-            claim: Who asks to run what.
+            claim: The claim.
             now: The state's time.
-            horizon: How old an id may be.
+            horizon: The maximum age of a request id.
 
         Returns:
-            The answer; only ``granted`` allows the holder of the token to send anything.
+            The answer; only ``granted`` allows the holder of the token to send the request.
         """
         key = LedgerKey(claim.caller, claim.request_id)
         record = self._records.get(key)
@@ -101,15 +101,15 @@
             case RunState.IN_PROGRESS if record.token == claim.token:
                 return ClaimAnswer(ClaimStatus.GRANTED)
             case RunState.IN_PROGRESS:
-                _turn_away(record, claim.token)
+                _reject_token(record, claim.token)
                 return ClaimAnswer(ClaimStatus.IN_PROGRESS)
             case RunState.UNKNOWN if record.token == claim.token:
-                # The entry still asks, so the answer to this very claim was lost and nothing was
-                # sent. Left unknown, the caller would be told that its booking may have run.
+                # The entry repeats this claim, so it has received no answer and sent nothing. With
+                # an unknown outcome the caller would be told that the request may have run.
                 self._set_in_progress(key, record)
                 return ClaimAnswer(ClaimStatus.GRANTED)
             case RunState.UNKNOWN:
-                _turn_away(record, claim.token)
+                _reject_token(record, claim.token)
                 return ClaimAnswer(ClaimStatus.OUTCOME_UNKNOWN)
             case RunState.DONE if record.outcome is not None:
                 return ClaimAnswer(ClaimStatus.STORED, record.outcome)
@@ -117,7 +117,7 @@
                 return ClaimAnswer(ClaimStatus.OUTCOME_UNKNOWN)
 
     def record(self, outcome: RecordOutcome) -> bool:
-        """Store how a run ended; return whether the claim is the token's."""
+        """Store the outcome of a run; return whether the token holds the claim."""
         key = LedgerKey(outcome.caller, outcome.request_id)
         record = self._records.get(key)
         if record is None or record.token != outcome.token:
@@ -134,30 +134,30 @@
         return True
 
     def release(self, release: ReleaseClaim, now: Millis, horizon: Millis) -> bool:
-        """Take a claim back of which nothing was sent; return whether it is taken back now."""
+        """Release a claim for which nothing was sent; return whether it is released now."""
         key = LedgerKey(release.caller, release.request_id)
         record = self._records.get(key)
         if record is None and self._is_too_old(key, now, horizon):
-            # Another sending of this id may have run and been dropped since. A record made here
-            # would say that the id is free, and the next resend would run a second time.
+            # Another attempt with this id may have run, and its record may have been dropped. A
+            # record created here would make the id free, and the next resend would run again.
             return False
         if record is None:
-            # The claim itself may still be on its way through another control host. Granted after
-            # this release, it would have no holder and block the id until the entry restarts.
+            # The claim may still be in transit through another control host. If it were granted
+            # after this release, it would have no holder and block the id until the entry restarts.
             record = RunRecord("", RunState.RELEASED, "", "", release.token, now)
             self._records[key] = record
         elif record.token != release.token:
-            record.released = _with_token(record.released, release.token)
+            record.released = _add_token(record.released, release.token)
             return False
         if record.state is RunState.DONE:
             return False
         record.state = RunState.RELEASED
-        record.released = _with_token(record.released, release.token)
+        record.released = _add_token(record.released, release.token)
         self._in_progress.pop(key, None)
         return True
 
     def mark_outcomes_unknown(self, holder: EntryKey) -> int:
-        """Mark what an entry held as of unknown outcome; return how many claims that were."""
+        """Mark the claims held by an entry process as of unknown outcome; return their number."""
         held = [
             key
             for key in self._in_progress
@@ -169,46 +169,46 @@
         return len(held)
 
     def expire(self, now: Millis, horizon: Millis) -> None:
-        """Drop what is past the horizon or over the bounds, oldest first."""
-        self._forgotten.expire(now)
+        """Drop records that are past the horizon or exceed the bounds, oldest first."""
+        self._evicted_ids.expire(now)
         while self._records:
             key, record = next(iter(self._records.items()))
             if record.claimed_at + horizon > now:
                 break
-            self._forget(key, now, horizon)
+            self._drop(key, now, horizon)
         if self._over_bounds():
-            self._make_room(now, horizon)
+            self._evict(now, horizon)
 
     def counts(self) -> LedgerCounts:
-        """Return the ledger's size."""
+        """Return the size of the ledger."""
         return LedgerCounts(
-            len(self._records), len(self._in_progress), self._outcome_bytes, len(self._forgotten)
+            len(self._records), len(self._in_progress), self._outcome_bytes, len(self._evicted_ids)
         )
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the whole state as plain maps, lists and bytes."""
+        """Return the state as plain maps, lists and bytes."""
         rows = [[*key, *_record_row(record)] for key, record in self._records.items()]
         in_progress = [list(key) for key in self._in_progress]
-        return {"records": rows, "in_progress": in_progress, "ids": self._forgotten.to_plain()}
+        return {"records": rows, "in_progress": in_progress, "ids": self._evicted_ids.to_plain()}
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> RunLedger:
-        """Return the state that ``to_plain`` gave."""
+        """Return the state from the result of ``to_plain``."""
         ledger = cls()
         for row in plain["records"]:
             record = _record_from_row(row[2:])
             ledger._records[LedgerKey(row[0], row[1])] = record
             ledger._outcome_bytes += len(record.outcome or b"")
         ledger._in_progress = {LedgerKey(*key): None for key in plain["in_progress"]}
-        ledger._forgotten = EvictedIds.from_plain(plain["ids"])
+        ledger._evicted_ids = EvictedIds.from_plain(plain["ids"])
         return ledger
 
     def _claim_new(self, key: LedgerKey, claim: Claim, now: Millis, horizon: Millis) -> ClaimAnswer:
         if self._is_too_old(key, now, horizon):
             return ClaimAnswer(ClaimStatus.TOO_OLD)
         if len(self._records) >= MAX_RECORDS:
-            self._make_room(now, horizon)
-        if len(self._records) >= MAX_RECORDS or self._forgotten.full:
+            self._evict(now, horizon)
+        if len(self._records) >= MAX_RECORDS or self._evicted_ids.is_full:
             return ClaimAnswer(ClaimStatus.FULL)
         self._grant(key, claim, now, ())
         return ClaimAnswer(ClaimStatus.GRANTED)
@@ -217,7 +217,7 @@
         issued = issued_at(key.request_id)
         if issued is not None and issued + horizon <= now:
             return True
-        return id_digest(*key) in self._forgotten
+        return id_digest(*key) in self._evicted_ids
 
     def _grant(self, key: LedgerKey, claim: Claim, now: Millis, released: tuple[str, ...]) -> None:
         record = RunRecord(
@@ -241,36 +241,36 @@
         over = self._outcome_bytes > MAX_TOTAL_OUTCOME_BYTES
         return over or len(self._records) > MAX_RECORDS
 
-    def _make_room(self, now: Millis, horizon: Millis) -> None:
-        wanted = MAX_RECORDS - MAX_RECORDS // 20
+    def _evict(self, now: Millis, horizon: Millis) -> None:
+        target = MAX_RECORDS - MAX_RECORDS // 20
         for key, record in list(self._records.items()):
-            if len(self._records) <= wanted and not self._over_bounds():
+            if len(self._records) <= target and not self._over_bounds():
                 return
             if record.state is not RunState.IN_PROGRESS:
-                self._forget(key, now, horizon)
+                self._drop(key, now, horizon)
 
-    def _forget(self, key: LedgerKey, now: Millis, horizon: Millis) -> None:
+    def _drop(self, key: LedgerKey, now: Millis, horizon: Millis) -> None:
         record = self._records.pop(key)
         self._in_progress.pop(key, None)
         self._outcome_bytes -= len(record.outcome or b"")
         issued = issued_at(key.request_id)
-        # An id that carries its time is refused by its age alone; one that does not, or that is
-        # dropped early for room, would pass for a new one and run twice without its digest.
+        # An id with a creation time past the horizon is refused by its age. Any other id would be
+        # treated as new without its digest, and the request would run twice.
         if issued is None or issued + horizon > now:
-            self._forgotten.add(id_digest(*key), now)
+            self._evicted_ids.add(id_digest(*key), now)
 
 
-def _turn_away(record: RunRecord, token: str) -> None:
-    """Note that a sending was told that it may not run.
+def _reject_token(record: RunRecord, token: str) -> None:
+    """Record that a claim with this token was refused.
 
-    A copy of its claim can still be on its way through another control host. Granted after the
-    holder took its own claim back, it would have no holder: every resend would be told that the
-    request runs, until the entry restarts.
+    A copy of the claim may still be in transit through another control host. If it were granted
+    after the holder released its own claim, it would have no holder, and every resend would be told
+    that the request is in progress until the entry restarts.
     """
-    record.released = _with_token(record.released, token)
+    record.released = _add_token(record.released, token)
 
 
-def _with_token(released: tuple[str, ...], token: str) -> tuple[str, ...]:
+def _add_token(released: tuple[str, ...], token: str) -> tuple[str, ...]:
     if token in released:
         return released
     return (*released, token)[-MAX_RELEASED_TOKENS:]
--- a/src/alderhatch/core/control/tier_settings.py
+++ b/src/alderhatch/core/control/tier_settings.py
@@ -1,4 +1,4 @@
-"""The settings that hold for the whole tier and are changed by operators at run time."""
+"""The tier-wide settings, which operators change at run time."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 @dataclass(frozen=True, slots=True)
 class TierSettings:
-    """A closed set of fields, each with its range."""
+    """The tier-wide settings with the valid range of each field."""
 
     __pydantic_config__ = ConfigDict(extra="forbid")
 
     hedge_budget: Annotated[float, Field(ge=0, le=1)] = 0.05
-    """Hedges of any rule at most, as a fraction of its shard requests."""
+    """Maximum hedges of each rule, as a fraction of its shard requests."""
     retry_budget: Annotated[float, Field(ge=0, le=1)] = 0.1
-    """Retries of each upstream at most, as a fraction of its shard requests."""
+    """Maximum retries of each upstream, as a fraction of its shard requests."""
     crash_limit: Annotated[int, Field(ge=1, le=10)] = 2
-    """Crashes after which a body's fingerprint is quarantined."""
+    """Number of crashes after which a body's fingerprint is quarantined."""
     crash_window_ms: Annotated[Millis, Field(ge=SECOND, le=DAY)] = 10 * MINUTE
-    """Crashes further apart than this are not counted together."""
+    """Time for which a crash counts towards ``crash_limit``."""
     quarantine_ms: Annotated[Millis, Field(ge=SECOND, le=DAY)] = 10 * MINUTE
-    """How long a quarantine holds."""
+    """Duration of a quarantine."""
     ledger_horizon_ms: Annotated[Millis, Field(ge=MINUTE, le=DAY)] = HOUR
-    """How long the outcomes of runs are kept."""
+    """Time for which the outcomes of runs are kept."""
     owners_per_server: Annotated[int, Field(ge=0, le=100)] = 0
-    """Entries that hold connections to a server; the others reach it through them. 0 is all."""
+    """Entries that hold connections to a server; others reach it through them. 0 means all."""
 
 
 _ADAPTER = TypeAdapter(TierSettings)
 
 
 def settings_to_plain(settings: TierSettings) -> dict[str, Any]:
-    """Return the settings as a plain map that ``merge_settings`` reads back."""
+    """Return the settings as a plain map that ``merge_settings`` accepts."""
     return asdict(settings)
 
 
@@ -50,7 +50,7 @@
         fields: The fields to change, by name.
 
     Raises:
-        AlderhatchError: ``invalid_change``, naming the first field at fault.
+        AlderhatchError: ``invalid_change`` with the first invalid field.
     """
     try:
         return _ADAPTER.validate_python(asdict(current) | dict(fields))
