--- a/features/control_state.feature
+++ b/features/control_state.feature
@@ -1,12 +1,12 @@
-Feature: The state of control
+Feature: Replicated control state
 
-  Scenario Outline: Of two operators with equal numbers exactly one wins
-    # Two operators look at the same revision and each sends a change. If both were taken, the
-    # second would be decided on a list that its operator has never seen.
+  Scenario Outline: Of two changes that expect the same revision exactly one is accepted
+    # Two operators read the same revision and each sends a change. If both were accepted, the
+    # second would apply to a state that its operator has not seen.
     Given the rules "urgent, routine" at revision 1
     When anna and bjorn both expect revision 1 and send "<first>" and "<second>"
-    Then anna's is accepted as revision 2 and bjorn is shown what won
-    And the state is the one after "<first>" alone
+    Then anna's change is accepted as revision 2 and bjorn's refusal lists it
+    And the state is the same as after "<first>" alone
 
     Examples:
       | first            | second           |
@@ -17,11 +17,11 @@
       | set hedges       | set hedges       |
 
   Scenario Outline: A resent change gets its first answer
-    # The operator lost the answer and sends the same change again, perhaps after others have made
-    # changes, the leader has changed, or the process has restarted from a snapshot.
+    # An operator who did not receive the answer resends the change. Meanwhile another change may
+    # be accepted, the leader may change, or control may restart from a snapshot.
     Given the rules "urgent, routine" at revision 1
-    When "<change>" is sent, then <event>, then the same is sent again
-    Then the second answer is the first one, marked as repeated, and nothing was applied twice
+    When "<change>" is sent, then <event>, then the same change is resent
+    Then the second answer equals the first, marked as repeated, and nothing is applied twice
 
     Examples:
       | change         | event                         |
@@ -31,12 +31,12 @@
       | edit unknown   | another change is accepted    |
       | add urgent     | control restarts              |
 
-  Scenario: A change id with other content is refused
+  Scenario: A change id that was used for another change is refused
     Given the rules "urgent, routine" at revision 1
-    When "add night" and then "withdraw urgent" are sent with one change id
-    Then the second is refused as "invalid_change" at "change_id"
+    When "add night" and then "withdraw urgent" are sent with the same change id
+    Then the second change is refused as "invalid_change" at "change_id"
 
-  Scenario Outline: A change with a mistake is refused whole, and the field is named
+  Scenario Outline: An invalid change is refused completely, and the field is reported
     Given the rules "urgent, routine" at revision 1
     When the change "<change>" is sent
     Then it is refused as "<kind>" at "<field>" and the state is unchanged
@@ -49,42 +49,42 @@
       | add a rule with an unknown condition         | invalid_change    | when.colour          |
       | add a rule at position 9                     | invalid_change    | position             |
       | edit a rule to another name                  | invalid_change    | rule.name            |
-      | edit a rule that is not there                | not_found         | name                 |
+      | edit an unknown rule                         | not_found         | name                 |
       | move a rule to position 0                    | invalid_change    | position             |
-      | withdraw a rule that is not there            | not_found         | name                 |
-      | replace the list by one with a bad last rule | invalid_change    | then.hedge           |
+      | withdraw an unknown rule                     | not_found         | name                 |
+      | replace the list, last rule invalid          | invalid_change    | then.hedge           |
       | set an unknown setting                       | invalid_change    | settings.colour      |
-      | set a good and a bad setting                 | invalid_change    | settings.crash_limit |
+      | set a valid and an invalid setting           | invalid_change    | settings.crash_limit |
       | stop an unknown host                         | not_found         | host                 |
       | depart a server without its upstream         | invalid_change    | upstream             |
-      | lift a quarantine that is not there          | not_found         | fingerprint          |
-      | expect a revision that is to come            | revision_conflict | expected_revision    |
+      | lift an unknown quarantine                   | not_found         | fingerprint          |
+      | expect a future revision                     | revision_conflict | expected_revision    |
 
-  Scenario Outline: Owners are only for a tier whose entries reach each other
-    # An entry whose settings lack its links owns no connection and reaches no owner. An operator who
-    # sets the number of owners too early would see the change accepted, and its callers nothing but
-    # refusals.
-    Given entries of which "<without>" have no links in their settings
-    When the number of owners is set to <owners> there
-    Then that change is "<result>"
+  Scenario Outline: Owners can only be enabled if all entries accept links
+    # An entry without links in its settings owns no connections and cannot reach an owner. If the
+    # number of owners were set too early, the change would be accepted and the entry would refuse
+    # all queries.
+    Given entries of which "<unlinked>" have no links in their settings
+    When owners_per_server is set to <owners>
+    Then the change of owners_per_server is "<result>"
 
     Examples:
-      | without | owners | result                                                       |
-      | nobody  | 2      | accepted                                                     |
-      | a2, b1  | 2      | invalid_change at settings.owners_per_server for a2, b1      |
-      | a2, b1  | 0      | accepted                                                     |
+      | unlinked | owners | result                                                       |
+      | none     | 2      | accepted                                                     |
+      | a2, b1   | 2      | invalid_change at settings.owners_per_server for a2, b1      |
+      | a2, b1   | 0      | accepted                                                     |
 
   Scenario: A withdrawn rule that is added again keeps its history
     Given the rules "urgent, routine" at revision 1
     When urgent is edited, withdrawn, and added again
     Then the history of urgent is "added, edited, withdrawn, added"
 
-  Scenario Outline: A planned stop is refused where it takes too much
-    # A stop that takes the quorum stops every change and, once the leases have run out, every
-    # entry; one that takes a zone's last entry sends all its callers across zones.
+  Scenario Outline: A planned stop that takes the quorum or a zone's last entry is refused
+    # Without a quorum no change is accepted and, once the leases have expired, no entry serves.
+    # Without an entry in its availability zone, callers have to send requests to another zone.
     Given control hosts c1 to c5 of which <down> are down, and entries a1, a2 in austin, w1 in waco
-    When the stops of "<before>" are planned and then that of <host>, forced: <forced>
-    Then that stop is "<result>"
+    When stops of "<before>" are planned and then the stop of <host>, forced: <forced>
+    Then the stop is "<result>"
 
     Examples:
       | down   | before | host | forced | result                                    |
@@ -98,18 +98,18 @@
       | c4, c5 | none   | c4   | no     | accepted                                  |
       | c4, c5 | none   | c1   | yes    | accepted                                  |
 
-  Scenario: Entries that get updates see what those see that get the whole
-    # An entry that misses an update, or is given a wrong one, would serve by rules that no operator
-    # ever accepted. Nobody would notice, as its revision is right.
-    Then updates and whole views agree under 200 random histories
+  Scenario: Updates lead to the same view as the whole view
+    # An entry with a missing or wrong update would serve by rules that were never accepted. Nothing
+    # would show it, because the entry's revision is correct.
+    Then updates and whole views agree in 200 random histories
 
-  Scenario: A host that restarts from a snapshot is no different from the others
-    # The hosts would drift apart, and the state would change with the next change of leader.
-    Then a restored host and one that applied everything agree under 100 random histories
+  Scenario: A host restored from a snapshot has the same state as the others
+    # Otherwise the states would diverge, and a change of leader would change the state.
+    Then a restored host and one that applied all commands agree in 100 random histories
 
   Scenario: A body that crashes servers is quarantined tier-wide after the limit
-    # One request crashes each server that runs it, and its caller sends it again at other entries.
-    Given a state with an entry's view of it
-    When crashes of body "b1" are reported for servers s1, s1 again at once, and s2
-    Then body "b1" is quarantined after the report for s2 and no longer after 10 minutes
+    # A request crashes every server that runs it, and its caller resends it to other entries.
+    Given a control state and an entry's view of it
+    When crashes on body "b1" are reported for server s1, immediately again for s1, and for s2
+    Then body "b1" is quarantined after the report for s2, until 10 minutes have passed
     And body "b2", reported once for s1, is not quarantined
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,75 +1,75 @@
-Feature: The run ledger
+Feature: Run ledger
 
-  Scenario: No request runs twice, whatever dies or arrives late
-    # Callers resend a booking at other entries because an answer was lost. Claims are applied twice
-    # or late, their answers get lost, entries die and restart, control restarts from a snapshot.
+  Scenario: No non-idempotent request runs twice despite crashes, delays and lost answers
+    # A caller that lost an answer resends its booking to another entry. Claims are applied twice or
+    # late, their answers are lost, entries crash and restart, control restarts from a snapshot.
     # A second run would air a commercial twice, or send two robots to one room.
-    Then no request runs twice under 400 random schedules
-    And no request runs twice in 300 schedules of resends
+    Then no request runs twice in 400 random schedules
+    And no request runs twice in 300 random schedules of resends
 
-  Scenario Outline: What a resend is told
-    # A caller that has lost the answer sends its booking again, at another entry.
+  Scenario Outline: The answer to a resend
+    # A caller that lost the answer resends its booking to another entry.
     Given a booking that entry A claimed and that <history>
-    When the booking is sent again at entry B
+    When the booking is resent to entry B
     Then the ledger answers "<status>"
 
     Examples:
       | history                                        | status          |
-      | still runs                                     | in_progress     |
+      | is still running                               | in_progress     |
       | has its outcome stored                         | stored          |
-      | has an outcome too large to be kept            | outcome_unknown |
-      | lost its entry, whose lease has run out        | outcome_unknown |
-      | lost its entry, which told its outcome later   | stored          |
-      | lost its entry, which restarted as a new run   | outcome_unknown |
+      | has an outcome too large to be stored          | outcome_unknown |
+      | lost its entry, whose lease has expired        | outcome_unknown |
+      | lost its entry, which stored an outcome later  | stored          |
+      | lost its entry, which restarted                | outcome_unknown |
       | was released as not sent                       | granted         |
       | was stored before control restarted            | stored          |
       | is older than the horizon                      | too_old         |
-      | was dropped for room                           | too_old         |
+      | was evicted because the ledger was full        | too_old         |
 
-  Scenario Outline: What an odd claim is told
-    Given a booking that entry A claimed and that still runs
-    When a claim comes that <oddity>
+  Scenario Outline: The answer to an unusual claim
+    Given a booking that entry A claimed and that is still running
+    When a claim arrives that <property>
     Then the ledger answers "<status>"
 
     Examples:
-      | oddity                                      | status         |
-      | has the id with another body                | reused         |
-      | has the same token because its answer was lost | granted     |
-      | is of an entry process without a lease      | not_registered |
-      | has an id made two hours ago                | too_old        |
-      | is of another caller with the same id       | granted        |
+      | property                                       | status         |
+      | has the same id but another body               | reused         |
+      | has the same token because its answer was lost | granted        |
+      | is from an entry process without a lease       | not_registered |
+      | has an id created two hours ago                | too_old        |
+      | is from another caller with the same id        | granted        |
 
   Scenario: A claim that arrives after its own release is not granted
-    # The claim waits in a silent connection while the entry gives up and releases it through
-    # another control host. Granted after that, it would have no holder, and the caller's next try
-    # would be told "in progress" for as long as the entry lives.
-    Given a booking whose release came before its claim
-    Then the late claim is told "withdrawn" and a new one "granted"
+    # The claim is delayed in a stalled connection while the entry gives up and releases it through
+    # another control host. If it were granted after that, it would have no holder, and a resend
+    # would get "in progress" until the entry restarts.
+    Given a booking whose release arrived before its claim
+    Then the late claim gets "withdrawn" and a new one gets "granted"
 
-  Scenario Outline: A copy of a claim that was turned away is not granted later
-    # An entry asked twice, because the first answer was slow, and got its answer to the second copy:
-    # another sending has the claim. That one is taken back, and then the first copy arrives. Granted
-    # now, it would have no holder, and every resend would be told "in progress" until that entry
-    # restarts.
+  Scenario Outline: A delayed copy of a refused claim is not granted later
+    # An entry sent a claim twice because the first answer was slow. The second copy was refused, as
+    # another attempt held the claim. That attempt releases it, and then the first copy arrives. If
+    # it were granted now, it would have no holder, and every resend would get "in progress" until
+    # that entry restarts.
     Given a booking that entry A claimed and that <history>
-    When a claim of entry B is turned away, A takes its own back, and a copy of B's claim arrives
+    When a claim of entry B is refused, A releases its claim, and a copy of B's claim arrives
     Then the ledger answers "withdrawn"
 
     Examples:
       | history                                 |
-      | still runs                              |
-      | lost its entry, whose lease has run out |
+      | is still running                        |
+      | lost its entry, whose lease has expired |
 
   Scenario: A release that arrives after the horizon does not free the id
-    # One sending of a booking was released, but its release is stuck on the way; another sending
-    # ran. An hour later the record is dropped and the release arrives. Taken as the first word
-    # about the id, it would let the next resend run a second time.
-    Given a booking that ran while the release of its first sending was on the way
-    When the release arrives after the horizon and the booking is sent again at entry B
+    # The release of a booking's first attempt is delayed, and another attempt runs. An hour later
+    # the record is dropped and the release arrives. If it created a new record for the id, the next
+    # resend would run a second time.
+    Given a booking that ran while the release of its first attempt was in transit
+    When the release arrives after the horizon and the booking is resent to entry B
     Then the ledger answers "too_old"
 
-  Scenario: A ledger without room refuses rather than forget
-    # Forgetting an id too early would let its resend run a second time.
-    Given a ledger whose records are all in progress and fill it
+  Scenario: A full ledger refuses new claims instead of dropping records
+    # If the record of an id were dropped too early, its resend would run a second time.
+    Given a ledger full of records in progress
     When one more booking is claimed
     Then the ledger answers "full"
--- a/features/steps/control_state_steps.py
+++ b/features/steps/control_state_steps.py
@@ -32,7 +32,7 @@
 )
 from features.support.control_commands import Applier, change, rule
 
-SIMPLE = {
+VALID_CHANGES = {
     "add night": AddRule(rule("night"), 1),
     "add urgent": AddRule(rule("urgent"), None),
     "edit urgent": EditRule("urgent", rule("urgent", coverage=0.9)),
@@ -45,7 +45,7 @@
     "set hedges": ChangeSettings({"hedge_budget": 0.2}),
 }
 
-FAULTY = {
+INVALID_CHANGES = {
     "add a rule without a name": AddRule({"then": {}}, None),
     "add a rule whose name is taken": AddRule(rule("urgent"), None),
     "add a rule with coverage 1.5": AddRule(rule("x", coverage=1.5), None),
@@ -54,18 +54,16 @@
     ),
     "add a rule at position 9": AddRule(rule("x"), 9),
     "edit a rule to another name": EditRule("urgent", rule("other")),
-    "edit a rule that is not there": EditRule("x", rule("x")),
+    "edit an unknown rule": EditRule("x", rule("x")),
     "move a rule to position 0": MoveRule("urgent", 0),
-    "withdraw a rule that is not there": WithdrawRule("x"),
-    "replace the list by one with a bad last rule": ReplaceRules(
-        [rule("a"), rule("b"), rule("c", hedge=7)]
-    ),
+    "withdraw an unknown rule": WithdrawRule("x"),
+    "replace the list, last rule invalid": ReplaceRules([rule("a"), rule("b"), rule("c", hedge=7)]),
     "set an unknown setting": ChangeSettings({"colour": 1}),
-    "set a good and a bad setting": ChangeSettings({"hedge_budget": 0.2, "crash_limit": 0}),
+    "set a valid and an invalid setting": ChangeSettings({"hedge_budget": 0.2, "crash_limit": 0}),
     "stop an unknown host": PlanStop("nobody", False),
     "depart a server without its upstream": DepartHost("s1", HostRole.UPSTREAM, "", False),
-    "lift a quarantine that is not there": LiftQuarantine("b9"),
-    "expect a revision that is to come": WithdrawRule("urgent"),
+    "lift an unknown quarantine": LiftQuarantine("b9"),
+    "expect a future revision": WithdrawRule("urgent"),
 }
 
 
@@ -77,8 +75,8 @@
     assert context.applier.state.revision == 1
 
 
-def _facts(state):
-    """What operators have declared, without history and answers."""
+def _declared_state(state):
+    """The declared state, without history and answers."""
     plain = state.hosts.to_plain()
     return (
         state.revision,
@@ -90,35 +88,38 @@
 
 
 @when('anna and bjorn both expect revision 1 and send "{first}" and "{second}"')
-def step_race(context, first, second):
+def step_same_revision(context, first, second):
     applier = context.applier
-    alone = ControlState()
-    alone.restore(applier.state.snapshot())
-    context.alone = Applier(alone)
-    context.alone.now = applier.now
-    context.alone.one(change("a-1", 1, SIMPLE[first], "anna"))
+    reference = ControlState()
+    reference.restore(applier.state.snapshot())
+    context.reference = Applier(reference)
+    context.reference.now = applier.now
+    context.reference.one(change("a-1", 1, VALID_CHANGES[first], "anna"))
     context.answers = applier.apply(
-        change("a-1", 1, SIMPLE[first], "anna"), change("b-1", 1, SIMPLE[second], "bjorn")
+        change("a-1", 1, VALID_CHANGES[first], "anna"),
+        change("b-1", 1, VALID_CHANGES[second], "bjorn"),
     )
 
 
-@then("anna's is accepted as revision 2 and bjorn is shown what won")
-def step_one_wins(context):
-    won, lost = context.answers
-    assert isinstance(won, ChangeAccepted) and won.revision == 2
-    assert isinstance(lost, ChangeRefused) and lost.kind == "revision_conflict"
-    assert [(item.who, item.change_id, item.revision) for item in lost.won] == [("anna", "a-1", 2)]
+@then("anna's change is accepted as revision 2 and bjorn's refusal lists it")
+def step_one_accepted(context):
+    accepted, refused = context.answers
+    assert isinstance(accepted, ChangeAccepted) and accepted.revision == 2
+    assert isinstance(refused, ChangeRefused) and refused.kind == "revision_conflict"
+    assert [(item.who, item.change_id, item.revision) for item in refused.won] == [
+        ("anna", "a-1", 2)
+    ]
 
 
-@then('the state is the one after "{first}" alone')
+@then('the state is the same as after "{first}" alone')
 def step_state_alone(context, first):
-    assert _facts(context.applier.state) == _facts(context.alone.state)
+    assert _declared_state(context.applier.state) == _declared_state(context.reference.state)
 
 
-@when('"{name}" is sent, then {event}, then the same is sent again')
+@when('"{name}" is sent, then {event}, then the same change is resent')
 def step_resend(context, name, event):
     applier = context.applier
-    sent = change("c-2", 1, SIMPLE[name])
+    sent = change("c-2", 1, VALID_CHANGES[name])
     context.first = applier.one(sent)
     if event == "another change is accepted":
         applier.one(change("c-3", applier.state.revision, ChangeSettings({"retry_budget": 0.5})))
@@ -126,48 +127,48 @@
         state = ControlState()
         state.restore(applier.state.snapshot())
         applier.state = state
-    context.before = _facts(applier.state)
-    # The leader that gets the resend may see other hosts down than the first one did.
+    context.before = _declared_state(applier.state)
+    # The leader that receives the resend may know of other unreachable hosts than the first one.
     context.second = applier.one(sent._replace(voters=["c1"], down=["c1"]))
 
 
-@then("the second answer is the first one, marked as repeated, and nothing was applied twice")
+@then("the second answer equals the first, marked as repeated, and nothing is applied twice")
 def step_repeated(context):
     assert context.second == context.first._replace(repeated=True)
-    assert _facts(context.applier.state) == context.before
+    assert _declared_state(context.applier.state) == context.before
 
 
-@when('"{first}" and then "{second}" are sent with one change id')
-def step_one_id(context, first, second):
-    context.applier.one(change("c-2", 1, SIMPLE[first]))
-    context.before = _facts(context.applier.state)
-    context.answer = context.applier.one(change("c-2", 2, SIMPLE[second]))
+@when('"{first}" and then "{second}" are sent with the same change id')
+def step_same_id(context, first, second):
+    context.applier.one(change("c-2", 1, VALID_CHANGES[first]))
+    context.before = _declared_state(context.applier.state)
+    context.answer = context.applier.one(change("c-2", 2, VALID_CHANGES[second]))
 
 
-@then('the second is refused as "{kind}" at "{field}"')
+@then('the second change is refused as "{kind}" at "{field}"')
 def step_second_refused(context, kind, field):
     assert (context.answer.kind, context.answer.field) == (kind, field)
-    assert _facts(context.applier.state) == context.before
+    assert _declared_state(context.applier.state) == context.before
 
 
 @when('the change "{name}" is sent')
 def step_faulty_change(context, name):
-    context.before = _facts(context.applier.state)
+    context.before = _declared_state(context.applier.state)
     expected = 7 if name.startswith("expect") else 1
-    context.answer = context.applier.one(change("c-2", expected, FAULTY[name]))
+    context.answer = context.applier.one(change("c-2", expected, INVALID_CHANGES[name]))
 
 
 @then('it is refused as "{kind}" at "{field}" and the state is unchanged')
 def step_refused_whole(context, kind, field):
     assert (context.answer.kind, context.answer.field) == (kind, field), context.answer
-    assert _facts(context.applier.state) == context.before
+    assert _declared_state(context.applier.state) == context.before
     assert all(fault.message for fault in context.answer.faults)
 
 
 @when("urgent is edited, withdrawn, and added again")
 def step_edit_withdraw_add(context):
     for number, name in enumerate(("edit urgent", "withdraw urgent", "add urgent"), start=1):
-        context.applier.one(change(f"c-{number + 1}", number, SIMPLE[name]))
+        context.applier.one(change(f"c-{number + 1}", number, VALID_CHANGES[name]))
 
 
 @then('the history of urgent is "{actions}"')
@@ -198,14 +199,14 @@
     return context.applier.one(sent)
 
 
-@when('the stops of "{before}" are planned and then that of {host}, forced: {forced}')
+@when('stops of "{before}" are planned and then the stop of {host}, forced: {forced}')
 def step_plan_stops(context, before, host, forced):
     for name in [] if before == "none" else before.split(", "):
         assert isinstance(_stop(context, name, False), ChangeAccepted)
     context.answer = _stop(context, host, forced == "yes")
 
 
-@then('that stop is "{result}"')
+@then('the stop is "{result}"')
 def step_stop_result(context, result):
     if result == "accepted":
         assert isinstance(context.answer, ChangeAccepted), context.answer
@@ -240,42 +241,42 @@
 
 def _apply(applier, operation):
     applier.now += 30_000.0
-    if not isinstance(operation, _OTHER):
+    if not isinstance(operation, _NON_CHANGE_OPERATIONS):
         operation = change(f"c-{applier.index}", applier.state.revision, operation)
     return applier.one(operation)
 
 
-_OTHER = (RegisterEntry, RemoveEntries, ReportCrash, Claim, KeepHouse)
+_NON_CHANGE_OPERATIONS = (RegisterEntry, RemoveEntries, ReportCrash, Claim, KeepHouse)
 
 
-@then("updates and whole views agree under {count:d} random histories")
+@then("updates and whole views agree in {count:d} random histories")
 def step_updates_agree(context, count):
     @settings(max_examples=count)
     @for_all(st.lists(st.tuples(_OPERATIONS, st.booleans()), min_size=5, max_size=60))
     def check(history):
         applier = Applier(ControlState())
         view = EntryView()
-        for operation, looks in history:
+        for operation, updates_view in history:
             revision = applier.state.revision
             _apply(applier, operation)
             assert applier.state.revision >= revision
-            if looks:
+            if updates_view:
                 for data in applier.state.updates_since(view.version):
                     view = view.advanced(data)
                 whole = EntryView().advanced(applier.state.whole_view())
                 if applier.state.feed.version:
-                    assert _shown(view) == _shown(whole)
+                    assert _visible_state(view) == _visible_state(whole)
 
     check()
 
 
-def _shown(view):
+def _visible_state(view):
     roster = sorted(view.roster.values())
     rules = view.rules.to_plain()
     return view.version, view.revision, rules, view.settings, roster, view.quarantines, view.leaving
 
 
-@then("a restored host and one that applied everything agree under {count:d} random histories")
+@then("a restored host and one that applied all commands agree in {count:d} random histories")
 def step_restored_agree(context, count):
     @settings(max_examples=count)
     @for_all(st.lists(_OPERATIONS, min_size=5, max_size=50), st.integers(0, 50))
@@ -293,59 +294,59 @@
     check()
 
 
-@given("a state with an entry's view of it")
+@given("a control state and an entry's view of it")
 def step_state_and_view(context):
     context.applier = Applier(ControlState())
     context.view = EntryView()
 
 
-def _look(context):
+def _update_view(context):
     for data in context.applier.state.updates_since(context.view.version):
         context.view = context.view.advanced(data)
     return context.view.quarantines
 
 
-@when('crashes of body "b1" are reported for servers s1, s1 again at once, and s2')
+@when('crashes on body "b1" are reported for server s1, immediately again for s1, and for s2')
 def step_crashes(context):
     context.seen = []
     for server, entry in (("s1", "entry-1"), ("s1", "entry-2"), ("s2", "entry-2")):
         context.applier.one(ReportCrash("b1", server, entry))
-        context.seen.append("b1" in _look(context))
+        context.seen.append("b1" in _update_view(context))
     context.applier.one(ReportCrash("b2", "s1", "entry-1"))
 
 
-@then('body "b1" is quarantined after the report for s2 and no longer after 10 minutes')
+@then('body "b1" is quarantined after the report for s2, until 10 minutes have passed')
 def step_quarantined(context):
     assert context.seen == [False, False, True]
     context.applier.now += 599_999.0
     context.applier.one(KeepHouse())
-    assert "b1" in _look(context)
+    assert "b1" in _update_view(context)
     context.applier.now += 1.0
     context.applier.one(KeepHouse())
-    assert "b1" not in _look(context)
+    assert "b1" not in _update_view(context)
 
 
 @then('body "b2", reported once for s1, is not quarantined')
-def step_innocent(context):
-    assert "b2" not in _look(context)
+def step_not_quarantined(context):
+    assert "b2" not in _update_view(context)
 
 
-@given('entries of which "{without}" have no links in their settings')
-def step_entries_with_links(context, without):
+@given('entries of which "{unlinked}" have no links in their settings')
+def step_entries_with_links(context, unlinked):
     context.applier = Applier(ControlState())
     for number, name in enumerate(("a1", "a2", "b1")):
-        port = 0 if name in without.split(", ") else 7300 + number
+        port = 0 if name in unlinked.split(", ") else 7300 + number
         links = ("10.0.0.1", port) if port else ("", 0)
         context.applier.one(RegisterEntry(name, "run-1", "ulven", "10.0.0.1", 8080, *links))
 
 
-@when("the number of owners is set to {owners:d} there")
+@when("owners_per_server is set to {owners:d}")
 def step_set_owners(context, owners):
     action = ChangeSettings({"owners_per_server": owners})
     context.answer = context.applier.one(change("c-owners", 0, action))
 
 
-@then('that change is "{result}"')
+@then('the change of owners_per_server is "{result}"')
 def step_owners_result(context, result):
     answer = context.answer
     if result == "accepted":
--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -19,17 +19,17 @@
 from features.support.control_commands import Applier
 from features.support.ledger_model import run_ledger_events, run_resends
 
-KINDS = ["request", "apply", "give-up", "finish", "start", "run-out", "restart", "tick"]
-OFTEN = ["request", "apply", "apply", "apply", "finish"]
+EVENT_KINDS = ["request", "apply", "give-up", "finish", "start", "expire", "restart", "tick"]
+FREQUENT_EVENT_KINDS = ["request", "apply", "apply", "apply", "finish"]
 ENTRY_A = EntryKey("entry-a", "run-1")
 ENTRY_B = EntryKey("entry-b", "run-1")
 TWO_HOURS_OLD = "00000000-03e8-7000-8000-000000000001"
-"""Its time is 1,000 ms after 1970."""
+"""A version 7 UUID created 1,000 ms after the start of 1970."""
 
 
-@then("no request runs twice under {count:d} random schedules")
+@then("no request runs twice in {count:d} random schedules")
 def step_no_second_run(context, count):
-    events = st.tuples(st.sampled_from(KINDS + OFTEN), st.integers(0, 99))
+    events = st.tuples(st.sampled_from(EVENT_KINDS + FREQUENT_EVENT_KINDS), st.integers(0, 99))
     totals = []
 
     @settings(max_examples=count)
@@ -38,10 +38,10 @@
         totals.append(sum(run_ledger_events(schedule).runs.values()))
 
     check()
-    assert sum(totals) > count // 2, "the schedules run too little to show anything"
+    assert sum(totals) > count // 2, "too few runs in the schedules for a meaningful result"
 
 
-@then("no request runs twice in {count:d} schedules of resends")
+@then("no request runs twice in {count:d} random schedules of resends")
 def step_no_second_run_of_resends(context, count):
     assert sum(sum(run_resends(seed).runs.values()) for seed in range(count)) > count
 
@@ -66,18 +66,18 @@
     _register(applier, ENTRY_B)
     assert applier.one(_claim(ENTRY_A, "token-a")).status == "granted"
     match history:
-        case "still runs":
+        case "is still running":
             pass
         case "has its outcome stored":
             assert applier.one(_record(b"booked")).applied
-        case "has an outcome too large to be kept":
+        case "has an outcome too large to be stored":
             applier.one(_record(b"x" * (run_ledger.MAX_OUTCOME_BYTES + 1)))
-        case "lost its entry, whose lease has run out":
+        case "lost its entry, whose lease has expired":
             applier.one(RemoveEntries([ENTRY_A]))
-        case "lost its entry, which told its outcome later":
+        case "lost its entry, which stored an outcome later":
             applier.one(RemoveEntries([ENTRY_A]))
             assert applier.one(_record(b"booked")).applied
-        case "lost its entry, which restarted as a new run":
+        case "lost its entry, which restarted":
             applier.one(RemoveEntries([ENTRY_A]))
             _register(applier, EntryKey("entry-a", "run-2"))
         case "was released as not sent":
@@ -90,7 +90,7 @@
         case "is older than the horizon":
             applier.one(_record(b"booked"))
             applier.now += HOUR + 1
-        case "was dropped for room":
+        case "was evicted because the ledger was full":
             _fill_with_large_outcomes(applier)
         case _:
             raise AssertionError(history)
@@ -108,21 +108,21 @@
     assert counts.outcome_bytes <= run_ledger.MAX_TOTAL_OUTCOME_BYTES + len(large)
 
 
-@when("the booking is sent again at entry B")
+@when("the booking is resent to entry B")
 def step_resent(context):
     context.answer = context.applier.one(_claim(ENTRY_B, "token-b"))
 
 
-@when("a claim comes that {oddity}")
-def step_odd_claim(context, oddity):
+@when("a claim arrives that {property_}")
+def step_unusual_claim(context, property_):
     claims = {
-        "has the id with another body": _claim(ENTRY_B, "token-b", "other body"),
+        "has the same id but another body": _claim(ENTRY_B, "token-b", "other body"),
         "has the same token because its answer was lost": _claim(ENTRY_A, "token-a"),
-        "is of an entry process without a lease": _claim(EntryKey("entry-b", "run-9"), "t"),
-        "has an id made two hours ago": _claim(ENTRY_B, "t", request_id=TWO_HOURS_OLD),
-        "is of another caller with the same id": _claim(ENTRY_B, "t", caller="brazos"),
+        "is from an entry process without a lease": _claim(EntryKey("entry-b", "run-9"), "t"),
+        "has an id created two hours ago": _claim(ENTRY_B, "t", request_id=TWO_HOURS_OLD),
+        "is from another caller with the same id": _claim(ENTRY_B, "t", caller="brazos"),
     }
-    context.answer = context.applier.one(claims[oddity])
+    context.answer = context.applier.one(claims[property_])
 
 
 @then('the ledger answers "{status}"')
@@ -131,22 +131,22 @@
     assert (context.answer.outcome == b"booked") == (status == "stored")
 
 
-@given("a booking whose release came before its claim")
+@given("a booking whose release arrived before its claim")
 def step_release_first(context):
     applier = context.applier = Applier(ControlState())
     _register(applier, ENTRY_A)
     applier.one(ReleaseClaim("trafikk", "booking-1", "token-a"))
 
 
-@then('the late claim is told "{late}" and a new one "{new}"')
+@then('the late claim gets "{late}" and a new one gets "{new}"')
 def step_late_claim(context, late, new):
     assert context.applier.one(_claim(ENTRY_A, "token-a")).status == late
     assert context.applier.one(_claim(ENTRY_A, "token-b")).status == new
     assert context.applier.one(_claim(ENTRY_A, "token-a")).status == "in_progress"
 
 
-@when("a claim of entry B is turned away, A takes its own back, and a copy of B's claim arrives")
-def step_turned_away(context):
+@when("a claim of entry B is refused, A releases its claim, and a copy of B's claim arrives")
+def step_claim_refused(context):
     applier = context.applier
     _register(applier, ENTRY_B)
     assert applier.one(_claim(ENTRY_B, "token-b")).status in ("in_progress", "outcome_unknown")
@@ -154,7 +154,7 @@
     context.answer = applier.one(_claim(ENTRY_B, "token-b"))
 
 
-@given("a ledger whose records are all in progress and fill it")
+@given("a ledger full of records in progress")
 def step_full(context):
     applier = context.applier = Applier(ControlState())
     _register(applier, ENTRY_A)
@@ -169,7 +169,7 @@
     context.answer = context.applier.one(_claim(ENTRY_A, "t", request_id="one-more"))
 
 
-@given("a booking that ran while the release of its first sending was on the way")
+@given("a booking that ran while the release of its first attempt was in transit")
 def step_ran_meanwhile(context):
     applier = context.applier = Applier(ControlState())
     _register(applier, ENTRY_A)
@@ -178,7 +178,7 @@
     assert applier.one(_record(b"booked")).applied
 
 
-@when("the release arrives after the horizon and the booking is sent again at entry B")
+@when("the release arrives after the horizon and the booking is resent to entry B")
 def step_late_release(context):
     context.applier.now += HOUR
     release = ReleaseClaim("trafikk", "booking-1", "token-0")
--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -14,7 +14,7 @@
 from alderhatch.core.control.operations import EntryKey
 
 
-@then("{count:d} entries may hold {each:d} connections each of {limit:d}, and {spare:d} are spare")
+@then("{count:d} entries may hold {each:d} connections each of {limit:d}, and {spare:d} are unused")
 def step_divisor(context, count, each, limit, spare):
     assert connections_per_entry(limit, count) == each
     assert limit - count * each == spare
@@ -28,7 +28,7 @@
         context.shares.add(name, Share(count))
 
 
-@when("a share is asked for by one more entry")
+@when("one more entry requests a share")
 def step_one_more(context):
     context.shares.add("new", Share(NO_SHARE))
     context.granted = context.shares.grant("new", Share(NO_SHARE), True, 0.0)
@@ -39,8 +39,8 @@
     assert context.granted == Share(NO_SHARE)
 
 
-@when("the others say one after the other that they obey the smaller share")
-def step_obey(context):
+@when("the others confirm the smaller share one after the other")
+def step_confirm(context):
     target = len(context.names) + 1
     context.after_each = []
     for name in context.names:
@@ -50,37 +50,37 @@
         context.after_each.append(context.shares.grant("new", Share(NO_SHARE), True, 0.0))
 
 
-@then("the new entry has a share only after the last of them")
+@then("the new entry has a share only after the last confirmation")
 def step_last(context):
     count = len(context.names)
     assert context.after_each == [Share(NO_SHARE)] * (count - 1) + [Share(count + 1)]
 
 
-@when("one of them is taken out at {at:d} ms with connections that may be open until {until:d} ms")
-def step_taken_out(context, at, until):
+@when("one of them is removed at {at:d} ms with connections that may be open until {until:d} ms")
+def step_removed(context, at, until):
     context.shares.remove("entry-0", float(until))
 
 
-@then("the other one keeps its share at {before:d} ms and has all at {after:d} ms")
-def step_ghost(context, before, after):
+@then("the other one keeps its share at {before:d} ms and has the full share at {after:d} ms")
+def step_share_reassigned(context, before, after):
     assert context.shares.grant("entry-1", Share(2), True, float(before)) == Share(2)
     assert context.shares.grant("entry-1", Share(2), True, float(after)) == Share(1)
 
 
-@given("2 entries of whose shares a new leader knows nothing")
+@given("2 entries whose shares are unknown to a new leader")
 def step_unknown(context):
     context.shares = ConnectionShares()
     for name in ("entry-0", "entry-1"):
         context.shares.add(name, None)
 
 
-@when("one of them asks for a larger share")
+@when("one of them requests a larger share")
 def step_larger(context):
     context.granted = context.shares.grant("entry-0", Share(3), True, 0.0)
 
 
-@then("it keeps its share until the other has said what it obeys")
-def step_vouched(context):
+@then("it keeps its share until the other has reported its share")
+def step_share_increased(context):
     assert context.granted == Share(3)
     assert context.shares.grant("entry-1", Share(2), True, 0.0) == Share(2)
     assert context.shares.grant("entry-0", Share(3), True, 0.0) == Share(2)
@@ -90,13 +90,13 @@
     return Renewal(sequence, "entry-1", "run-1", "ulven", "10.0.0.1", 8080, 0, share, True)
 
 
-@given("a leader that begins at {now:d} ms, {since:d} ms after an entry was taken out")
-def step_begins(context, now, since):
+@given("a leader that starts at {now:d} ms, {since:d} ms after an entry was removed")
+def step_leader_starts(context, now, since):
     key = EntryKey("entry-1", "run-1")
     context.leases = LeaseTable(3000.0, [key], float(since), float(now))
 
 
-@when("an entry that obeys a third renews at {first:d} ms and at {second:d} ms")
+@when("an entry with a third renews at {first:d} ms and at {second:d} ms")
 def step_renews_twice(context, first, second):
     grants = [
         context.leases.renew(_renewal(sequence, 3), 0, float(now))
@@ -105,13 +105,13 @@
     context.granted = [grant.share for grant in grants]
 
 
-@then("its share stays a third and then is raised to all")
+@then("its share stays a third and is then increased to the full share")
 def step_raised(context):
     assert context.granted == [3, 1]
 
 
-@given("an entry that obeys a third and is cut off")
-def step_cut_off(context):
+@given("an entry with a third that is disconnected")
+def step_disconnected(context):
     identity = EntryIdentity("entry-1", "run-1", "ulven", "10.0.0.1", 8080)
     context.lease = EntryLease(identity)
     sequence = context.lease.renewal(0.0).sequence
@@ -119,7 +119,7 @@
     assert context.lease.share == 3
 
 
-@when("the answer to a renewal comes after it gave up its share")
+@when("the answer to a renewal arrives after it gave up its share")
 def step_late_share(context):
     given_up = 3000.0 + SHARE_GRACE
     sequence = context.lease.renewal(given_up - 1).sequence
--- a/features/support/control_commands.py
+++ b/features/support/control_commands.py
@@ -1,4 +1,4 @@
-"""Commands for the control state, in the form in which the log holds them."""
+"""Helpers that apply encoded log commands to a control state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Applier:
-    """Applies operations to a state one batch at a time."""
+    """Applies batches of operations to a state and records the commands."""
 
     def __init__(self, state):
         self.state = state
--- a/features/support/lease_model.py
+++ b/features/support/lease_model.py
@@ -1,8 +1,8 @@
-"""A leader and entries whose messages are lost, repeated late or overtaken, in virtual time.
+"""A model of a leader and entries in virtual time, with lost, delayed and reordered messages.
 
-Entries' clocks run up to 8 % fast or slow. After every event the promises are checked: no more
-connections to any server than it allows, no entry that serves on an older version than one which
-the leader has called in force, and no version that goes down.
+Entries' clocks run up to 8 % fast or slow. The guarantees are checked after every event: no server
+gets more connections than its limit, no entry serves on an older version than one that the leader
+has reported as in force, and no version decreases.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 from .control_commands import Applier, change
 
-LEASE = 3000.0
-RATES = (1.0, 0.92, 1.08)
+LEASE_MS = 3000.0
+CLOCK_RATES = (1.0, 0.92, 1.08)
 LINK_PORT = 7300
-OWNERS = (0, 2, 1, 3)
+OWNER_COUNTS = (0, 2, 1, 3)
 SERVERS = tuple(
     Server(f"srv-{number}", "10.0.1.1", 9000 + number, f"zone-{number % 4}", 4, limit)
     for number, limit in enumerate((30, 30, 30, 30, 12, 1, 30, 60))
 )
-"""In three zones with entries and one without."""
+"""Servers in three availability zones with entries and one without."""
 
 
 class ModelEntry:
@@ -38,7 +38,7 @@
         zone = f"zone-{number % zones}"
         identity = EntryIdentity(*self.key, zone, "10.0.0.1", 8080, "10.0.0.1", LINK_PORT)
         self.lease = EntryLease(identity)
-        self.rate = RATES[number % len(RATES)]
+        self.rate = CLOCK_RATES[number % len(CLOCK_RATES)]
         self.version = 0
 
     def clock(self, now):
@@ -54,12 +54,12 @@
         self.entries = {}
         self.renewals = []
         self.replies = []
-        self.promised = 0
+        self.in_force_version = 0
         self.incarnations = 0
-        self.alone = set()
-        self.table = LeaseTable(LEASE, [], None, 0.0)
+        self.isolated = set()
+        self.table = LeaseTable(LEASE_MS, [], None, 0.0)
 
-    # What may happen
+    # Events
 
     def join(self, number):
         self.incarnations += 1
@@ -73,12 +73,12 @@
         self.applier.now += span
         for entry in self.entries.values():
             entry.lease.release_share_if_expired(entry.clock(self.now))
-        gone = self.table.take_expired(self.now)
-        if gone:
-            self.take_out(gone)
+        expired = self.table.take_expired(self.now)
+        if expired:
+            self.remove_expired(expired)
 
-    def take_out(self, gone):
-        self.applier.one(RemoveEntries(gone))
+    def remove_expired(self, expired):
+        self.applier.one(RemoveEntries(expired))
         self._sync()
 
     def send(self, number):
@@ -112,19 +112,19 @@
         if self.replies:
             self.replies.pop(index % len(self.replies))
 
-    def settle(self, number):
+    def confirm_share(self, number):
         if number in self.entries:
             self.entries[number].lease.share_settled()
 
-    def toggle_alone(self, number):
-        """Let an entry sit out the rounds from now on, or take part again."""
-        self.alone ^= {number}
+    def toggle_isolated(self, number):
+        """Exclude an entry from the rounds, or include it again."""
+        self.isolated ^= {number}
 
     def round(self, span):
-        """Let time pass while all entries but those alone renew without any fault."""
+        """Advance the time and let all entries that are not isolated renew without faults."""
         self.tick(span)
         for number, entry in list(self.entries.items()):
-            if number in self.alone:
+            if number in self.isolated:
                 continue
             entry.lease.share_settled()
             self.send(number)
@@ -138,21 +138,23 @@
         self.applier.one(change(f"c-{self.applier.index}", self.state.revision, action))
 
     def change_owners(self, number):
-        action = ChangeSettings({"owners_per_server": OWNERS[number % len(OWNERS)]})
+        action = ChangeSettings({"owners_per_server": OWNER_COUNTS[number % len(OWNER_COUNTS)]})
         self.applier.one(change(f"o-{self.applier.index}", self.state.revision, action))
         self._sync()
 
     def change_leader(self):
         self.term += 1
         hosts = self.state.hosts
-        registered = [EntryKey(one.name, one.incarnation) for one in hosts.entries.values()]
+        registered = [
+            EntryKey(record.name, record.incarnation) for record in hosts.entries.values()
+        ]
         since = None if hosts.last_removal is None else self.applier.now - hosts.last_removal
-        self.table = LeaseTable(LEASE, registered, since, self.now)
+        self.table = LeaseTable(LEASE_MS, registered, since, self.now)
         self._set_plan()
 
     def _sync(self):
         entries = self.state.hosts.entries.values()
-        registered = {one.name: EntryKey(one.name, one.incarnation) for one in entries}
+        registered = {record.name: EntryKey(record.name, record.incarnation) for record in entries}
         self.table.sync(registered, self.now)
         self._set_plan()
 
@@ -163,12 +165,12 @@
     def plan(self):
         return owner_plan_of_hosts(self.state.hosts, self.state.settings.owners_per_server)
 
-    # What must hold
+    # Guarantees
 
     def check(self):
         version = self.state.feed.version
         if not self.table.unconfirmed_entries(version, self.now):
-            self.promised = max(self.promised, version)
+            self.in_force_version = max(self.in_force_version, version)
         leases = [entry.lease for entry in self.entries.values()]
         shares = [(lease.share, lease.plans) for lease in leases]
         if not any(plans for _, plans in shares):
@@ -181,14 +183,14 @@
             assert held >= entry.version, (entry.name, held, entry.version)
             entry.version = held
             if entry.lease.may_serve(entry.clock(self.now)):
-                assert held >= self.promised, (entry.name, held, self.promised)
+                assert held >= self.in_force_version, (entry.name, held, self.in_force_version)
 
     def run_without_faults(self):
-        """Let time pass without any fault."""
+        """Advance the time without faults until the state is stable."""
         for _ in range(120):
             self.tick(100.0)
             for number in list(self.entries):
-                self.settle(number)
+                self.confirm_share(number)
                 self.send(number)
             while self.renewals:
                 self.deliver_renewal(0)
@@ -215,10 +217,10 @@
                 model.deliver_reply(number)
             case "drop":
                 model.drop(number)
-            case "settle":
-                model.settle(number % 5)
-            case "alone":
-                model.toggle_alone(number % 5)
+            case "confirm-share":
+                model.confirm_share(number % 5)
+            case "isolate":
+                model.toggle_isolated(number % 5)
             case "round":
                 model.round(float(200 + number * 37 % 1200))
             case "change":
--- a/features/support/ledger_model.py
+++ b/features/support/ledger_model.py
@@ -1,6 +1,6 @@
-"""Entries that claim, run, die and resend, with operations applied late, twice or never.
+"""A model of entries that claim, run, crash and resend, with late, repeated or lost operations.
 
-What is counted is how often the first byte of each request was sent.
+It counts how often the first byte of each request is sent.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from .control_commands import Applier
 
 TIMED_ID = "0196a1b2-c3d4-7000-8000-00000000000{}"
-MINUTE = 60_000.0
+MINUTE_MS = 60_000.0
 
 
 class Attempt:
-    """One sending of a request at one entry process."""
+    """One attempt to run a request at one entry process."""
 
     def __init__(self, key, request_id, token):
         self.key = key
@@ -44,7 +44,7 @@
         self.applier.now = float(0x0196A1B2C3D4)
         self.processes = {}
         self.attempts = []
-        self.pool = []
+        self.in_transit = []
         self.runs = Counter()
         self.starts = 0
         for number in range(3):
@@ -68,24 +68,28 @@
         key = self.processes.get(number)
         self.attempts = [attempt for attempt in self.attempts if attempt.key != key]
 
-    def lease_runs_out(self, number):
+    def expire_lease(self, number):
         key = self.processes[number]
         self.applier.one(RemoveEntries([key]))
         self.applier.one(RegisterEntry(*key, "zone", "10.0.0.1", 8080))
 
-    def request(self, number, which):
-        request_id = f"booking-{which % 3}" if which % 2 else TIMED_ID.format(which % 3)
-        token = f"token-{len(self.attempts)}-{self.applier.index}-{self.starts}-{which}"
+    def request(self, number, request_number):
+        request_id = (
+            f"booking-{request_number % 3}"
+            if request_number % 2
+            else TIMED_ID.format(request_number % 3)
+        )
+        token = f"token-{len(self.attempts)}-{self.applier.index}-{self.starts}-{request_number}"
         attempt = Attempt(self.processes[number], request_id, token)
         self.attempts.append(attempt)
-        self.pool.append((attempt.claim, attempt))
+        self.in_transit.append((attempt.claim, attempt))
 
     def apply(self, index, keep, lost):
-        """Apply an operation that is on its way; it may be there twice, its answer may be lost."""
-        if not self.pool:
+        """Apply an operation in transit, which may stay in transit or lose its answer."""
+        if not self.in_transit:
             return
-        position = index % len(self.pool)
-        operation, attempt = self.pool[position] if keep else self.pool.pop(position)
+        position = index % len(self.in_transit)
+        operation, attempt = self.in_transit[position] if keep else self.in_transit.pop(position)
         answer = self.applier.one(operation)
         if lost or attempt not in self.attempts or not attempt.waiting:
             return
@@ -115,7 +119,7 @@
 
     def release(self, attempt):
         operation = ReleaseClaim("brazos", attempt.request_id, attempt.token)
-        self.pool.append((operation, attempt))
+        self.in_transit.append((operation, attempt))
 
     def finish(self, index):
         running = [attempt for attempt in self.attempts if attempt.running]
@@ -123,7 +127,7 @@
             attempt = running[index % len(running)]
             attempt.running = False
             operation = RecordOutcome("brazos", attempt.request_id, attempt.token, b"booked")
-            self.pool.append((operation, attempt))
+            self.in_transit.append((operation, attempt))
 
     def restart_control(self):
         state = ControlState()
@@ -131,15 +135,15 @@
         self.applier.state = state
 
     def deliver_all(self):
-        """Deliver all that is on its way; whoever still waits for an answer asks again."""
-        self.pool += [(one.claim, one) for one in self.attempts if one.waiting]
-        while self.pool:
+        """Deliver all operations in transit; attempts waiting for an answer resend their claim."""
+        self.in_transit += [(one.claim, one) for one in self.attempts if one.waiting]
+        while self.in_transit:
             self.apply(0, keep=False, lost=False)
             self.check()
         holders = {one.token for one in self.attempts if one.waiting or one.running}
         ledger = self.state.ledger
         for key in ledger._in_progress:
-            # Without a holder nobody ends it, and the caller is told for good that it runs.
+            # A claim without a holder never ends, and resends would always get "in progress".
             assert ledger._records[key].token in holders, key
 
     def check(self):
@@ -160,36 +164,40 @@
                 model.finish(number)
             case "start":
                 model.start(number % 3)
-            case "run-out":
-                model.lease_runs_out(number % 3)
+            case "expire":
+                model.expire_lease(number % 3)
             case "restart":
                 model.restart_control()
             case "tick":
-                model.applier.now += number * MINUTE
+                model.applier.now += number * MINUTE_MS
         model.check()
     return model
 
 
-RESENDS = {
+RESEND_EVENT_WEIGHTS = {
     "request": 8,
     "apply": 16,
     "finish": 2,
     "give-up": 2,
-    "run-out": 2,
+    "expire": 2,
     "start": 1,
     "restart": 1,
     "tick": 1,
 }
-"""How often what happens when callers resend a few requests again and again."""
-FEW = 9
-"""Numbers up to this stand for three entries and three request ids."""
+"""Weights of the events when callers resend a few requests repeatedly."""
+REQUEST_NUMBERS = 9
+"""Numbers below this stand for combinations of three entries and three request ids."""
 
 
 def run_resends(seed):
-    """A long schedule about few requests, so that every record meets every kind of operation."""
+    """Run a long schedule of few requests, so that each record gets every kind of operation."""
     random = Random(seed)
-    kinds = random.choices(list(RESENDS), list(RESENDS.values()), k=random.randint(50, 250))
-    events = [(kind, random.randrange(FEW if kind == "request" else 100)) for kind in kinds]
+    kinds = random.choices(
+        list(RESEND_EVENT_WEIGHTS), list(RESEND_EVENT_WEIGHTS.values()), k=random.randint(50, 250)
+    )
+    events = [
+        (kind, random.randrange(REQUEST_NUMBERS if kind == "request" else 100)) for kind in kinds
+    ]
     model = run_ledger_events(events)
     model.deliver_all()
     return model
