--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -10,7 +10,7 @@
 )
 from alderhatch.core.control.entry_lease import EntryIdentity, EntryLease
 from alderhatch.core.control.lease_messages import Grant, GrantReply, Renewal
-from alderhatch.core.control.lease_table import SHARE_GRACE, LeaseTable
+from alderhatch.core.control.lease_table import SHARE_GRACE_MS, LeaseTable
 from alderhatch.core.control.operations import EntryKey
 
 
@@ -121,7 +121,7 @@
 
 @when("the answer to a renewal arrives after it gave up its share")
 def step_late_share(context):
-    given_up = 3000.0 + SHARE_GRACE
+    given_up = 3000.0 + SHARE_GRACE_MS
     sequence = context.lease.renewal(given_up - 1).sequence
     reply = GrantReply(1, Grant(sequence, 3000.0, 0, 3, ""), [])
     context.lease.apply_grant(reply, given_up)
@@ -129,5 +129,5 @@
 
 @then("it has a lease and no share")
 def step_no_share_taken(context):
-    assert context.lease.may_serve(3000.0 + SHARE_GRACE)
+    assert context.lease.may_serve(3000.0 + SHARE_GRACE_MS)
     assert context.lease.share == NO_SHARE
--- a/src/alderhatch/core/control/entry_lease.py
+++ b/src/alderhatch/core/control/entry_lease.py
@@ -14,7 +14,7 @@
 from .connection_shares import NO_SHARE, Share, connections_per_entry, connections_per_owner
 from .entry_view import EntryView
 from .lease_messages import GrantReply, Renewal
-from .lease_table import SHARE_GRACE
+from .lease_table import SHARE_GRACE_MS
 from .roster import owner_plan_of_roster
 
 NO_VERSION = -1
@@ -209,7 +209,7 @@
         Returns:
             Whether the share was given up now; all connections have to be closed then.
         """
-        if self._held_share.is_empty or now < self.serve_until + SHARE_GRACE:
+        if self._held_share.is_empty or now < self.serve_until + SHARE_GRACE_MS:
             return False
         self._clear_share()
         return True
--- a/src/alderhatch/core/control/lease_table.py
+++ b/src/alderhatch/core/control/lease_table.py
@@ -18,7 +18,7 @@
 Without it, an entry whose clock runs slower than the leader's could still serve while the leader
 already considers its rules replaced and its connections closed.
 """
-SHARE_GRACE: Millis = 2 * SECOND
+SHARE_GRACE_MS: Millis = 2 * SECOND
 """Time after its lease in which an entry may finish requests; then it closes its connections."""
 RECENT_REMOVAL_WINDOW: Millis = MINUTE
 
@@ -81,7 +81,7 @@
         self.lease = lease
         self._expiry_delay = lease * (1 + CLOCK_DRIFT_MARGIN)
         recent = since_removal is not None and since_removal < RECENT_REMOVAL_WINDOW
-        self._shares = ConnectionShares(now + SHARE_GRACE if recent else now)
+        self._shares = ConnectionShares(now + SHARE_GRACE_MS if recent else now)
         self._holders: dict[str, _Holder] = {}
         for key in registered:
             self._holders[key.name] = _Holder(key, now + self._expiry_delay)
@@ -92,7 +92,7 @@
         for name, holder in list(self._holders.items()):
             if registered.get(name) != holder.key:
                 del self._holders[name]
-                self._shares.remove(name, max(now, holder.until) + SHARE_GRACE)
+                self._shares.remove(name, max(now, holder.until) + SHARE_GRACE_MS)
         for name, key in registered.items():
             if name not in self._holders:
                 self._holders[name] = _Holder(key, now + self._expiry_delay)
--- a/src/alderhatch/entry/control_client.py
+++ b/src/alderhatch/entry/control_client.py
@@ -14,7 +14,7 @@
 from ..core.control.entry_view import EntryView
 from ..core.control.feed import ControlPlace
 from ..core.control.lease_messages import CONTROL_MESSAGES
-from ..core.control.lease_table import SHARE_GRACE
+from ..core.control.lease_table import SHARE_GRACE_MS
 from ..core.control.operations import (
     OPERATIONS,
     Claim,
@@ -312,7 +312,7 @@
                 self.changed.notify()
             if self._lease.release_share_if_expired(now):
                 self.changed.notify()
-            ends = (self._lease.serve_until, self._lease.serve_until + SHARE_GRACE)
+            ends = (self._lease.serve_until, self._lease.serve_until + SHARE_GRACE_MS)
             next_end = min((end for end in ends if end > now), default=now + WATCH_INTERVAL)
             await self.changed.wait_for(next_end - now)
 
