--- a/src/alderhatch/core/control/crash_table.py
+++ b/src/alderhatch/core/control/crash_table.py
@@ -11,7 +11,7 @@
 
 MAX_SUSPECTS = 2000
 MAX_QUARANTINES = 1000
-SAME_CRASH_WINDOW: Millis = 2 * SECOND
+SAME_CRASH_WINDOW_MS: Millis = 2 * SECOND
 """Reports about one server within this time count as one crash seen by several entries."""
 
 
@@ -107,4 +107,4 @@
 
 
 def _is_same_crash(one: Crash, other: Crash) -> bool:
-    return one.server == other.server and abs(one.at - other.at) < SAME_CRASH_WINDOW
+    return one.server == other.server and abs(one.at - other.at) < SAME_CRASH_WINDOW_MS
--- a/src/alderhatch/core/control/evicted_ids.py
+++ b/src/alderhatch/core/control/evicted_ids.py
@@ -11,11 +11,11 @@
 
 from ...clock import DAY, HOUR, Millis
 
-RETENTION: Millis = DAY
+RETENTION_MS: Millis = DAY
 """Minimum time for which a digest is kept."""
 MAX_DIGESTS = 500_000
 """A digest in a sealed bucket takes 8 bytes."""
-BUCKET_SPAN: Millis = HOUR
+BUCKET_SPAN_MS: Millis = HOUR
 DIGEST_BYTES = 8
 
 
@@ -60,11 +60,11 @@
         return len(self) >= MAX_DIGESTS
 
     def add(self, digest: int, now: Millis) -> None:
-        """Keep a digest for at least ``RETENTION`` from now."""
+        """Keep a digest for at least ``RETENTION_MS`` from now."""
         if self._open and now >= self._open_until:
             self._seal()
         if not self._open:
-            self._open_until = now + BUCKET_SPAN
+            self._open_until = now + BUCKET_SPAN_MS
         self._open.add(digest)
 
     def expire(self, now: Millis) -> None:
@@ -93,7 +93,7 @@
 
     def _seal(self) -> None:
         digests = array("Q", sorted(self._open))
-        self._sealed.append(_Sealed(self._open_until + RETENTION, digests))
+        self._sealed.append(_Sealed(self._open_until + RETENTION_MS, digests))
         self._sealed_count += len(digests)
         self._open = set()
 
--- a/src/alderhatch/core/control/lease_table.py
+++ b/src/alderhatch/core/control/lease_table.py
@@ -12,7 +12,7 @@
 from .lease_messages import Grant, Renewal
 from .operations import EntryKey
 
-CLOCK_DRIFT_MARGIN = 0.1
+CLOCK_DRIFT_FRACTION = 0.1
 """Fraction of the lease that the leader waits in addition before it treats a lease as expired.
 
 Without it, an entry whose clock runs slower than the leader's could still serve while the leader
@@ -20,7 +20,7 @@
 """
 SHARE_GRACE_MS: Millis = 2 * SECOND
 """Time after its lease in which an entry may finish requests; then it closes its connections."""
-RECENT_REMOVAL_WINDOW: Millis = MINUTE
+RECENT_REMOVAL_WINDOW_MS: Millis = MINUTE
 
 
 class LeaseState(StrEnum):
@@ -79,8 +79,8 @@
             now: The leader's time.
         """
         self.lease = lease
-        self._expiry_delay = lease * (1 + CLOCK_DRIFT_MARGIN)
-        recent = since_removal is not None and since_removal < RECENT_REMOVAL_WINDOW
+        self._expiry_delay = lease * (1 + CLOCK_DRIFT_FRACTION)
+        recent = since_removal is not None and since_removal < RECENT_REMOVAL_WINDOW_MS
         self._shares = ConnectionShares(now + SHARE_GRACE_MS if recent else now)
         self._holders: dict[str, _Holder] = {}
         for key in registered:
--- a/src/alderhatch/core/control/renewal_interval.py
+++ b/src/alderhatch/core/control/renewal_interval.py
@@ -4,8 +4,8 @@
 
 from ...clock import Millis
 
-MIN_INTERVAL: Millis = 50.0
-INTERVAL_PER_ENTRY: Millis = 2.0
+MIN_INTERVAL_MS: Millis = 50.0
+INTERVAL_PER_ENTRY_MS: Millis = 2.0
 
 
 def min_renewal_interval(entries: int) -> Millis:
@@ -20,4 +20,4 @@
     Args:
         entries: The number of registered entries.
     """
-    return max(MIN_INTERVAL, INTERVAL_PER_ENTRY * entries)
+    return max(MIN_INTERVAL_MS, INTERVAL_PER_ENTRY_MS * entries)
--- a/src/alderhatch/core/control/request_time.py
+++ b/src/alderhatch/core/control/request_time.py
@@ -7,7 +7,7 @@
 from ...clock import Millis
 
 UUID_TIMESTAMP_VERSION = 7
-_TIME_SHIFT = 80
+_TIMESTAMP_SHIFT_BITS = 80
 """The first 48 of the 128 bits of a version 7 UUID are milliseconds since 1970."""
 
 
@@ -27,4 +27,4 @@
         return None
     if uuid.variant != RFC_4122 or uuid.version != UUID_TIMESTAMP_VERSION:
         return None
-    return float(uuid.int >> _TIME_SHIFT)
+    return float(uuid.int >> _TIMESTAMP_SHIFT_BITS)
