--- a/src/alderhatch/core/control/entry_lease.py
+++ b/src/alderhatch/core/control/entry_lease.py
@@ -9,7 +9,7 @@
 
 from ...clock import Millis
 from ...errors import AlderhatchError
-from ..owners import OwnerAssignment
+from ..owners import OwnerPlan
 from ..shard_map import Server
 from .connection_shares import NO_SHARE, Share, connections_per_entry, connections_per_owner
 from .entry_view import EntryView
@@ -66,7 +66,7 @@
         self._whole_view_needed = False
         self._held_share = Share(NO_SHARE)
         self._target_share = Share(NO_SHARE)
-        self._plans: dict[int, OwnerAssignment] = {}
+        self._plans: dict[int, OwnerPlan] = {}
         self._leaving = False
         self.view = EntryView()
         """The rules, settings, roster and quarantines in force at this entry."""
--- a/src/alderhatch/core/control/roster.py
+++ b/src/alderhatch/core/control/roster.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ..owners import EntryLocation, OwnerAssignment
+from ..owners import EntryLocation, OwnerPlan
 from .feed import ControlPlace, RosterEntry
 from .host_table import HostTable
 
@@ -24,9 +24,7 @@
     )
 
 
-def owner_plan_of_roster(
-    roster: Iterable[RosterEntry], owners_per_server: int
-) -> OwnerAssignment | None:
+def owner_plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerPlan | None:
     """Return the owner plan for a roster.
 
     Args:
@@ -43,10 +41,10 @@
     places = [
         EntryLocation(row.name, row.zone) for row in roster if row.link_port and not row.leaving
     ]
-    return OwnerAssignment(places, owners_per_server) if places else None
+    return OwnerPlan(places, owners_per_server) if places else None
 
 
-def owner_plan_of_hosts(hosts: HostTable, owners_per_server: int) -> OwnerAssignment | None:
+def owner_plan_of_hosts(hosts: HostTable, owners_per_server: int) -> OwnerPlan | None:
     """Return the owner plan for the registered entries."""
     rows = (roster_row(hosts, name) for name in hosts.entries)
     return owner_plan_of_roster(rows, owners_per_server)
--- a/src/alderhatch/core/owners.py
+++ b/src/alderhatch/core/owners.py
@@ -50,7 +50,7 @@
     return tuple(ordered if count is None else ordered[:count])
 
 
-class OwnerAssignment:
+class OwnerPlan:
     """The owners of every server, derived from a roster and a number of owners for each server.
 
     Args:
