--- a/src/alderhatch/core/arrival.py
+++ b/src/alderhatch/core/arrival.py
@@ -95,7 +95,7 @@
 
     def _admit(self, run: Run, upstream: UpstreamView) -> None:
         core = self._state
-        min_time = upstream.latencies.fastest + core.policy.path_cost_ms
+        min_time = upstream.latencies.p05 + core.policy.path_cost_ms
         if core.now + min_time > run.deadline:
             message = f"deadline too short: the fastest answers take {min_time:.1f} ms"
             core.refuse(run.query, run.rule, ErrorKind.DEADLINE_TOO_SHORT, message)
@@ -107,7 +107,7 @@
             return
         wait = limiter.expected_wait(run.rank)
         latest = self._latest_start(run)
-        if core.now + wait > latest or wait > core.policy.max_wait_share * run.span:
+        if core.now + wait > latest or wait > core.policy.max_wait_share * run.time_budget:
             self._refuse(run, limiter, f"expected wait of {wait:.0f} ms is too long")
             return
         if self.admission.full():
@@ -138,8 +138,8 @@
         policy = self._state.policy
         min_time = run.upstream.latencies.median
         if isinstance(run, QueryRun):
-            min_time = max(min_time, run.upstream.queries.quantile(policy.start_quantile))
-        return run.deadline - min(min_time, MAX_RESERVED_SHARE * run.span) - policy.path_cost_ms
+            min_time = max(min_time, run.upstream.query_latencies.quantile(policy.start_quantile))
+        return run.deadline - min(min_time, MAX_RESERVED_SHARE * run.time_budget) - policy.path_cost_ms
 
     def _start_run(self, limiter: UpstreamLimiter, run: Run) -> None:
         core = self._state
--- a/src/alderhatch/core/dispatcher.py
+++ b/src/alderhatch/core/dispatcher.py
@@ -11,7 +11,7 @@
 from .core_state import CoreState
 from .crash_detector import CRASH_LIMIT
 from .entry_events import AttemptFault, CancelAttempt, LoadReport, ProbeServer, SendShard
-from .latency_histogram import LOWEST
+from .latency_histogram import MIN_LATENCY_MS
 from .pacer import Pacer
 from .query_run import QueryRun
 from .replica_choice import choose_replica
@@ -74,7 +74,7 @@
         excluded = NO_EXCLUSIONS if again else shard.tried
         crash_suspect = core.crashes.recent_losses(run.fingerprint, core.now) > 0
         server: ServerView | None = None
-        if self.pacer.has_room(run, shard):
+        if self.pacer.may_send(run, shard):
             server = self._choose_server(run, shard, excluded, crash_suspect)
         if server is not None:
             self._send_to(run, shard, server, snapshot, False, crash_suspect)
@@ -89,7 +89,7 @@
         heapq.heappush(self._waiting_by_shard.setdefault(key, []), entry)
         for server in shard.plan.replicas:
             self._waiting_shards_by_server.setdefault(server.server_id, {})[key] = None
-            self.pacer.wake_for(server)
+            self.pacer.schedule_recheck(server)
         # One timer serves all waiting shard requests. One timer each would multiply with every
         # round of refusals until the entry does nothing but recheck its waiting requests.
         if wake > core.now and (self._wake_at is None or wake < self._wake_at):
@@ -169,9 +169,9 @@
         self.attempts[number] = attempt
         server.in_flight += 1
         if run.rank:
-            self.pacer.sent(run, shard, server)
+            self.pacer.record_send(run, shard, server)
         if crash_suspect:
-            server.suspects += 1
+            server.suspect_attempts += 1
         core.shard_requests_sent += 1
         if core.policy.take_back_hedges:
             self._cancel_superseded_hedges(attempt)
@@ -210,9 +210,9 @@
             return None
         core = self._state
         latency = core.now - attempt.sent_at
-        if latency < LOWEST:
-            latency = LOWEST
-        attempt.server.saw_answer(latency, load, core.now)
+        if latency < MIN_LATENCY_MS:
+            latency = MIN_LATENCY_MS
+        attempt.server.record_answer(latency, load, core.now)
         attempt.run.upstream.latencies.record(latency)
         if attempt.run.limiter is not None:
             slots = attempt.server.slots
@@ -230,15 +230,15 @@
         server = attempt.server
         match fault:
             case AttemptFault.SHED:
-                server.saw_shed(retry_after, core.now)
+                server.record_shed(retry_after, core.now)
                 shed_time_left = server.shed_until - core.now
                 attempt.run.retry_after = max(attempt.run.retry_after or 0.0, shed_time_left)
             case AttemptFault.DRAINING | AttemptFault.MOVED:
-                server.saw_draining(core.now)
+                server.record_draining(core.now)
             case AttemptFault.SILENT:
                 self._record_silence(attempt)
             case AttemptFault.LOST:
-                core.servers.fail(attempt.run.upstream.name, server, core.now)
+                core.servers.record_failure(attempt.run.upstream.name, server, core.now)
                 core.effects.append(ProbeServer(server.server_id))
             case (
                 AttemptFault.NOT_SENT
@@ -246,7 +246,7 @@
                 | AttemptFault.GARBAGE
                 | AttemptFault.WRONG_ANSWER
             ):
-                core.servers.fail(attempt.run.upstream.name, server, core.now)
+                core.servers.record_failure(attempt.run.upstream.name, server, core.now)
             case AttemptFault.VERSION_GONE | AttemptFault.REFUSED | AttemptFault.OWNER_LOST:
                 pass
         return attempt
@@ -258,7 +258,7 @@
         core = self._state
         server = attempt.server
         if core.now - server.silent_at < core.policy.silent_window_ms:
-            core.servers.fail(attempt.run.upstream.name, server, core.now)
+            core.servers.record_failure(attempt.run.upstream.name, server, core.now)
         server.silent_at = core.now
 
     def _remove_attempt(self, number: int) -> Attempt | None:
@@ -268,11 +268,11 @@
         attempt.state.attempts.pop(number, None)
         attempt.server.in_flight -= 1
         if attempt.run.rank:
-            attempt.server.low_in_flight -= 1
+            attempt.server.lower_priority_in_flight -= 1
         if self._waiting_by_shard:
             self._freed_servers.append(attempt.server)
         if attempt.crash_suspect:
-            attempt.server.suspects -= 1
+            attempt.server.suspect_attempts -= 1
         return attempt
 
     def cancel(self, attempt: Attempt) -> None:
@@ -286,7 +286,7 @@
         core.wasted += 1
         elapsed_ms = core.now - attempt.sent_at
         if elapsed_ms > attempt.server.latency:
-            attempt.server.saw_latency(elapsed_ms, core.now)
+            attempt.server.record_latency(elapsed_ms, core.now)
         core.effects.append(CancelAttempt(attempt.number))
 
     def within_crash_limit(self, run: QueryRun) -> bool:
@@ -296,7 +296,7 @@
         no longer applies once the query's remaining shards have been sent after its canaries.
         """
         core = self._state
-        if not run.canary and len(run.shards) > 1:
+        if not run.canary_phase and len(run.shards) > 1:
             return True
         if core.crashes.was_answered(run.fingerprint):
             return True
@@ -308,7 +308,7 @@
         ready: list[tuple[Run, ShardState]] = []
         for server in self._freed_servers:
             room = int(server.cap) - server.in_flight
-            self.pacer.wake_for(server)
+            self.pacer.schedule_recheck(server)
             # A query keeps the shards of its pinned map. Looking only for shard names of the newest
             # map would leave requests for a shard that was split waiting until their deadline.
             waiting = self._waiting_shards_by_server.get(server.server_id, {})
@@ -321,7 +321,7 @@
 
     def release_paced(self) -> None:
         """Recheck servers whose pause between requests of lower priority classes has ended."""
-        self._freed_servers += self.pacer.due()
+        self._freed_servers += self.pacer.take_due()
 
     def _take_waiting_for_shard(
         self, key: tuple[str, str], room: int, ready: list[tuple[Run, ShardState]]
@@ -330,7 +330,7 @@
         taken_count = 0
         while heap and taken_count < room:
             _, _, run, shard = heap[0]
-            if not run.ended and not self.pacer.has_room(run, shard, taken_count):
+            if not run.ended and not self.pacer.may_send(run, shard, taken_count):
                 break
             heapq.heappop(heap)
             if not run.ended and shard.waiting and not shard.closed:
--- a/src/alderhatch/core/entry_core.py
+++ b/src/alderhatch/core/entry_core.py
@@ -171,7 +171,7 @@
         self._dispatcher.answered(number, answer.load)
         run = attempt.run
         if isinstance(run, QueryRun):
-            self._fan_out.answered(run, attempt.state, answer)
+            self._fan_out.on_answer(run, attempt.state, answer)
         elif isinstance(run, SingleRun):
             self._at_most_once.answered(run, attempt.state, answer)
 
@@ -186,7 +186,7 @@
             self._confirm_crash(server_id)
         run = attempt.run
         if isinstance(run, QueryRun):
-            self._fan_out.failed(run, attempt.state, fault, server_id)
+            self._fan_out.on_failure(run, attempt.state, fault, server_id)
         elif isinstance(run, SingleRun):
             self._at_most_once.failed(run, attempt.state, fault, server_id)
 
@@ -199,7 +199,7 @@
     def _on_health_reported(self, event: HealthReported) -> None:
         state = self._state
         known_boot_id = state.servers.boot_id_of(event.server_id)
-        restarted = state.servers.take_health(event, state.now)
+        restarted = state.servers.apply_health(event, state.now)
         if restarted or event.state is ServerState.UNREACHABLE:
             self._confirm_crash(event.server_id, restarted)
         elif (
@@ -217,13 +217,13 @@
 
     def _on_map_fetched(self, shard_map: ShardMap) -> None:
         known_snapshot = self._state.servers.snapshot_of(shard_map.upstream)
-        if not self._state.servers.adopt(shard_map, self._state.now):
+        if not self._state.servers.update_shard_map(shard_map, self._state.now):
             return
         if shard_map.snapshot == known_snapshot:
             return
         for run in list(self._state.runs.values()):
             if isinstance(run, QueryRun) and run.upstream.name == shard_map.upstream:
-                self._fan_out.map_changed(run)
+                self._fan_out.on_shard_map_change(run)
 
     def _on_rules_changed(self, revision: int, rules: RuleList) -> None:
         # Pushes can arrive out of order. Going back to an older revision would reinstate rules
@@ -237,7 +237,7 @@
         if run is None or self._arrival.cancel_waiting(run):
             return
         if isinstance(run, QueryRun):
-            self._fan_out.drop(run)
+            self._fan_out.end(run)
         elif isinstance(run, SingleRun):
             self._at_most_once.caller_gone(run)
 
@@ -265,6 +265,6 @@
             elif timer.kind is TimerKind.QUEUE:
                 self._arrival.expire(run)
             elif isinstance(run, QueryRun):
-                self._fan_out.wake(run, timer.kind)
+                self._fan_out.on_timer(run, timer.kind)
             elif isinstance(run, SingleRun):
                 self._at_most_once.wake(run, timer.kind)
--- a/src/alderhatch/core/fan_out.py
+++ b/src/alderhatch/core/fan_out.py
@@ -55,10 +55,10 @@
         # A body that crashes each server which runs it would take a replica of every shard with it
         # at once. It is seen as many connections lost in the same moment. So a body that no server
         # is known to have survived goes to a few shards first.
-        run.canary = 0 < canaries < len(run.shards) and not core.crashes.was_answered(
+        run.canary_phase = 0 < canaries < len(run.shards) and not core.crashes.was_answered(
             run.fingerprint
         )
-        if not run.canary:
+        if not run.canary_phase:
             self._send_all(run)
             return
         for state in self._choose_canaries(run, canaries):
@@ -89,11 +89,11 @@
             if not state.closed and not state.attempts and not state.waiting:
                 self._send(run, state)
         self._hedging.started(run, len(run.shards))
-        run.upstream.retries.earn(len(run.shards))
+        run.upstream.retry_budget.earn(len(run.shards))
 
     def release(self, run: QueryRun) -> None:
         """Send what was held back behind the canaries."""
-        run.canary = False
+        run.canary_phase = False
         self._send_all(run)
         self._settle(run)
 
@@ -110,7 +110,9 @@
 
     def _why_no_server(self, state: ShardState) -> str:
         reasons = {
-            reason for server in state.plan.replicas for reason in server.why_not(self._state.now)
+            reason
+            for server in state.plan.replicas
+            for reason in server.restrictions(self._state.now)
         }
         return "no server: " + (", ".join(sorted(reasons)) or "none holds it")
 
@@ -119,7 +121,7 @@
         self._send(run, state)
         self._settle(run)
 
-    def answered(self, run: QueryRun, state: ShardState, answer: ShardAnswer) -> None:
+    def on_answer(self, run: QueryRun, state: ShardState, answer: ShardAnswer) -> None:
         """Take an attempt's answer."""
         core = self._state
         was_open = not state.closed
@@ -132,13 +134,15 @@
             self._dispatcher.cancel(other)
         if was_open and run.limiter is not None:
             run.limiter.release_shards(run, 1)
-        if run.canary:
+        if run.canary_phase:
             self.release(run)
             if run.ended:
                 return
         self._settle(run)
 
-    def failed(self, run: QueryRun, state: ShardState, fault: AttemptFault, server_id: str) -> None:
+    def on_failure(
+        self, run: QueryRun, state: ShardState, fault: AttemptFault, server_id: str
+    ) -> None:
         """Take an attempt that came to nothing."""
         core = self._state
         if fault not in NOT_RUN_FAULTS:
@@ -169,9 +173,9 @@
         if not self._dispatcher.within_crash_limit(run):
             # The shard stays open until the other canary has answered, or until it is known
             # whether the lost servers crashed.
-            return run.canary
+            return run.canary_phase
         free = fault in (AttemptFault.NOT_SENT, AttemptFault.DRAINING) and untried
-        if not free and not run.upstream.retries.spend():
+        if not free and not run.upstream.retry_budget.spend():
             return False
         self._send(run, self._next_canary(run, state, fault))
         return True
@@ -182,7 +186,7 @@
         The body may have crashed the server. Sent to the other replica of the same shard, it could
         take the whole shard out, seen as coverage missing from every answer until a restart.
         """
-        if not run.canary or fault is not AttemptFault.LOST:
+        if not run.canary_phase or fault is not AttemptFault.LOST:
             return state
         unasked = [other for other in run.shards if not other.tried and not other.closed]
         return self._state.rng.choice(unasked) if unasked else state
@@ -210,7 +214,7 @@
             core.effects.append(FetchShardMap(run.upstream.name))
             core.timers.add(core.now + core.policy.map_wait_ms, TimerKind.MAP, run)
 
-    def map_changed(self, run: QueryRun) -> None:
+    def on_shard_map_change(self, run: QueryRun) -> None:
         """Plan a query anew if it waits for a newer shard map."""
         if run.waits_for_map and run.replans == 0 and not self._replan(run):
             self.map_late(run)
@@ -258,7 +262,7 @@
         if run.open == 0:
             self._finish(run)
             return
-        if run.canary and not run.attempts_out and not self._any_waiting(run):
+        if run.canary_phase and not run.attempts_out and not self._any_waiting(run):
             # Whether the servers crashed, or many were lost at the same moment, shows a little
             # later: they are being probed.
             run.verdict_by = run.verdict_by or self._state.now + VERDICT_WITHIN
@@ -270,7 +274,7 @@
                 self._finish(run)
                 return
             self._state.timers.add(run.early_finish, TimerKind.EARLY_FINISH, run)
-        if not run.canary:
+        if not run.canary_phase:
             self._hedging.look(run)
 
     def _held_until(self, run: QueryRun) -> Millis:
@@ -281,7 +285,7 @@
         """
         patience = self._canary_patience(run)
         sent = [a.sent_at for state in run.shards for a in state.attempts.values()]
-        room = self._dispatcher.pacer.has_room
+        room = self._dispatcher.pacer.may_send
         if not sent and any(state.waiting and not room(run, state) for state in run.shards):
             run.canary_held = True
             return self._state.now + patience
@@ -302,7 +306,7 @@
         self._finish(run)
 
     def _canaries_late(self, run: QueryRun) -> None:
-        if not run.canary:
+        if not run.canary_phase:
             return
         again = self._held_until(run)
         if again > self._state.now:
@@ -318,7 +322,7 @@
             return
         self._end_canaries(run)
 
-    def wake(self, run: QueryRun, kind: TimerKind) -> None:
+    def on_timer(self, run: QueryRun, kind: TimerKind) -> None:
         """Look at a query whose timer has come up."""
         match kind:
             case TimerKind.DEADLINE | TimerKind.EARLY_FINISH:
@@ -333,7 +337,7 @@
             case _:
                 pass
 
-    def drop(self, run: QueryRun) -> None:
+    def end(self, run: QueryRun) -> None:
         """End a query and cancel whatever of it is still out."""
         run.ended = True
         self._state.runs.pop(run.query, None)
@@ -351,10 +355,10 @@
     def _finish(self, run: QueryRun) -> None:
         if run.ended:
             return
-        self.drop(run)
+        self.end(run)
         core = self._state
         nothing = run.covered_documents == 0 and run.shard_map.documents > 0
-        run.upstream.queries.record(core.now - run.admitted_at)
+        run.upstream.query_latencies.record(core.now - run.admitted_at)
         if not nothing and run.coverage >= run.serve.min_coverage:
             core.effects.append(Finish(run.query, run.outcome(core.revision)))
             return
