--- a/src/alderhatch/core/arrival.py
+++ b/src/alderhatch/core/arrival.py
@@ -139,7 +139,9 @@
         min_time = run.upstream.latencies.median
         if isinstance(run, QueryRun):
             min_time = max(min_time, run.upstream.query_latencies.quantile(policy.start_quantile))
-        return run.deadline - min(min_time, MAX_RESERVED_SHARE * run.time_budget) - policy.path_cost_ms
+        return (
+            run.deadline - min(min_time, MAX_RESERVED_SHARE * run.time_budget) - policy.path_cost_ms
+        )
 
     def _start_run(self, limiter: UpstreamLimiter, run: Run) -> None:
         core = self._state
--- a/src/alderhatch/core/control/roster.py
+++ b/src/alderhatch/core/control/roster.py
@@ -24,7 +24,9 @@
     )
 
 
-def owner_plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerAssignment | None:
+def owner_plan_of_roster(
+    roster: Iterable[RosterEntry], owners_per_server: int
+) -> OwnerAssignment | None:
     """Return the plan that holds for a roster.
 
     Args:
