--- a/bench/forward.py
+++ b/bench/forward.py
@@ -26,7 +26,7 @@
 from alderhatch.core.forwarding.server_record import ServerRecord
 from alderhatch.entry.connection_pool import ConnectionPool
 from alderhatch.http.messages import HeaderFields, HttpRequest
-from alderhatch.node.caller_side import CallerSide
+from alderhatch.node.caller_handler import CallerHandler
 from alderhatch.node.forward_runner import ForwardRunner
 from alderhatch.node.hand_over_client import HandOverClient
 from alderhatch.node.hand_over_messages import HAND_OVER_MESSAGE_TYPES
@@ -110,7 +110,9 @@
         metrics = NodeMetrics(cast(Node, SimpleNamespace(cfg=SimpleNamespace(name="bench"))))
         others = HandOverClient(self.state, Codec(*HAND_OVER_MESSAGE_TYPES), b"", Random(1))
         gathers = SplitGathers(self.state, PartsCollector(self.runner, dialect), others)
-        self.callers = CallerSide(self.state, self.runner, dialect, metrics, log, others, gathers)
+        self.callers = CallerHandler(
+            self.state, self.runner, dialect, metrics, log, others, gathers
+        )
 
     async def ask(self, first: int, count: int) -> None:
         """Send requests one after the other.
--- a/features/steps/cold_servers_steps.py
+++ b/features/steps/cold_servers_steps.py
@@ -199,7 +199,7 @@
 
 
 def read(context, warm_up):
-    record = context.reader._steady(ColdTier.record(0, warm_up))
+    record = context.reader._with_stable_warm_up(ColdTier.record(0, warm_up))
     state = context.reader._state
     is_new = record != state.records.get(record.server_id)
     state.records[record.server_id] = record
--- a/features/steps/gather_split_steps.py
+++ b/features/steps/gather_split_steps.py
@@ -35,8 +35,8 @@
 from alderhatch.node.gather_messages import (
     PartsNews,
     PartsRequest,
-    bundle_of,
     check_parts_request,
+    to_parts_bundle,
 )
 from alderhatch.node.node_state import NodeState
 from alderhatch.node.split_gather import SplitGathers
@@ -329,7 +329,7 @@
     )
     hosts = [HostRecord(f"host-{index}", "zone-0", "a:1", True, 1.0) for index in range(6)]
     state.owners.set_hosts(hosts, clock.now())
-    links = SimpleNamespace(is_sound=lambda name, now: True)
+    links = SimpleNamespace(is_available=lambda name, now: True)
     context.gathers = SplitGathers(state, None, links)
     context.route = scatter_route(shards, destination=AllShards(tuple(shards), 10, 0.95))
 
@@ -337,7 +337,7 @@
 @then("it {does} a gather that needs 86 of them")
 def step_does(context, does):
     times = RunTimes(1000.0, 1100.0, 2000.0)
-    gather = context.gathers.begin(SimpleNamespace(http=None), context.route, times)
+    gather = context.gathers.create(SimpleNamespace(http=None), context.route, times)
     assert (gather is not None) == (does == "splits")
 
 
@@ -509,7 +509,9 @@
 
 @then('an answer with {mistake} is refused naming "{field}"')
 def step_bad_answer(context, mistake, field):
-    assert bundle_of(ANSWER, ("a", "b"), 2) == PartsBundle(("a", "b"), (b"x", b"y"), b"r" * 32)
+    assert to_parts_bundle(ANSWER, ("a", "b"), 2) == PartsBundle(
+        ("a", "b"), (b"x", b"y"), b"r" * 32
+    )
     spoilt = {
         "a place beyond the request": ANSWER._replace(shards=[0, 2]),
         "a place below zero": ANSWER._replace(shards=[0, -1]),
@@ -520,7 +522,7 @@
         "more records than are wanted": ANSWER._replace(records=b"r" * 48),
     }[mistake]
     try:
-        bundle_of(spoilt, ("a", "b"), 2)
+        to_parts_bundle(spoilt, ("a", "b"), 2)
     except ValueError as exc:
         assert str(exc).startswith(field), exc
         return
--- a/features/steps/hand_over_steps.py
+++ b/features/steps/hand_over_steps.py
@@ -18,7 +18,7 @@
 from alderhatch.http.messages import HttpRequest, HttpResponse
 from alderhatch.http.server import ServeState
 from alderhatch.link import LinkClosedError, Peer, open_link, serve_links
-from alderhatch.node.caller_side import CallerSide
+from alderhatch.node.caller_handler import CallerHandler
 from alderhatch.node.hand_over_client import HandOverClient
 from alderhatch.node.hand_over_link import SILENCE
 from alderhatch.node.hand_over_messages import (
@@ -481,7 +481,7 @@
 
 @then('its callers are refused as "{kind}" until it has {version:d}')
 def step_refused_until(context, kind, version):
-    side = CallerSide(context.beliefs, None, None, None, None, None, None)
+    side = CallerHandler(context.beliefs, None, None, None, None, None, None)
     req = SimpleNamespace(host="a", http=request())
     kinds = []
     for held in (version - 1, version):
--- a/features/steps/log_output_steps.py
+++ b/features/steps/log_output_steps.py
@@ -13,7 +13,7 @@
 from alderhatch.core.forwarding.outcome import Answered
 from alderhatch.log import log_event, set_up_bounded_logs
 from alderhatch.log_events import LogEvent
-from alderhatch.node.request_log import RequestLog, end_of
+from alderhatch.node.request_log import RequestLog, to_request_end
 from alderhatch.request_history import describe, history_of, parse_line
 from features.support.forward_model import ForwardModel, scatter_route, single_route
 
@@ -191,7 +191,7 @@
     context.model.run_until(context.model.now + 20_000.0)
     outcome, at = context.model.results[number]
     run = context.model.runs[number]
-    return run, end_of(outcome, min(at - run.times.arrived, 100.0))
+    return run, to_request_end(outcome, min(at - run.times.arrived, 100.0))
 
 
 @when("{count:d} requests go well in it")
@@ -200,7 +200,7 @@
 
     def write(log):
         for number in range(count):
-            log.ended(request_of(number), run, end)
+            log.log_end(request_of(number), run, end)
 
     in_log(context, write)
 
@@ -214,7 +214,7 @@
 
     def write(log):
         for number in range(count):
-            log.ended(request_of(number), run, end)
+            log.log_end(request_of(number), run, end)
 
     in_log(context, write)
 
@@ -260,7 +260,7 @@
         case _:
             raise AssertionError(cause)
     run, end = ended_run(context, route)
-    in_log(context, lambda log: log.ended(request_of(1), run, end))
+    in_log(context, lambda log: log.log_end(request_of(1), run, end))
 
 
 @then('its line has the outcome "{outcome}" and a step "{step}" with why "{why}"')
--- a/features/support/forward_model.py
+++ b/features/support/forward_model.py
@@ -14,7 +14,7 @@
 from alderhatch.core.forwarding.run_limits import RunTimes
 from alderhatch.core.forwarding.server_record import ServerRecord
 from alderhatch.core.forwarding.target_table import TargetTable
-from alderhatch.node.forward_runner import LOSER_GRACE
+from alderhatch.node.forward_runner import CANCEL_GRACE_PERIOD
 from alderhatch.platform.settings import POLICY
 
 TERMS = BudgetLimits(0.2, 62.0, 10_000.0)
@@ -167,7 +167,7 @@
                 case Send():
                     self._send(number, host, effect)
                 case Cancel(attempt):
-                    self.at(self.now + LOSER_GRACE, lambda a=attempt: self._cancel(host, a))
+                    self.at(self.now + CANCEL_GRACE_PERIOD, lambda a=attempt: self._cancel(host, a))
                 case Finish(outcome):
                     self.results[number] = (outcome, self.now)
 
--- a/src/alderhatch/node/caller_side.py
+++ b/src/alderhatch/node/caller_handler.py
@@ -22,7 +22,7 @@
 from .hand_over_client import HandOverClient
 from .node_metrics import NodeMetrics
 from .node_state import NodeState
-from .request_log import RequestLog, end_of
+from .request_log import RequestLog, to_request_end
 from .split_gather import SplitGather, SplitGathers
 
 FIRST_ROUND_TRIPS = 2.0
@@ -44,7 +44,7 @@
 MAX_ADDRESSES = 64
 
 
-class CallerSide:
+class CallerHandler:
     """Serves callers by what the node believes.
 
     Args:
@@ -153,7 +153,7 @@
             self._log.refused(req, exc.failure.kind, exc.failure.message)
             raise
         times = self._times(route, req, arrived)
-        gather = self._gathers.begin(req, route, times)
+        gather = self._gathers.create(req, route, times)
         if gather is not None:
             return await self._gather(gather, req)
         run = ForwardRun(route, self._upstreams(route), times, self._state.table)
@@ -171,9 +171,9 @@
     def _end(
         self, req: CallerRequest, run: ForwardRun, outcome: Outcome, omitted_late_parts: bool
     ) -> HttpResponse:
-        end = end_of(outcome, self._clock.now() - run.times.arrived)
+        end = to_request_end(outcome, self._clock.now() - run.times.arrived)
         self._metrics.count(run, end)
-        self._log.ended(req, run, end)
+        self._log.log_end(req, run, end)
         res = self._dialect.response(run.route, outcome)
         if omitted_late_parts:
             self._own_time(run.route).record_overrun(self._clock.now() - run.due)
--- a/src/alderhatch/node/dialect.py
+++ b/src/alderhatch/node/dialect.py
@@ -15,7 +15,7 @@
 from ..http.messages import HeaderFields, HttpRequest, HttpResponse
 
 
-class Reading(NamedTuple):
+class ParsedAnswer(NamedTuple):
     """What one answer of a server means."""
 
     fault: AttemptFault | None
@@ -35,7 +35,7 @@
     """Names this one try of the caller."""
     time_left: Millis | None
     """How long the caller waits, if it says so."""
-    passed_on: HeaderFields
+    forwarded_fields: HeaderFields
     """The header fields that servers get as the caller sent them."""
 
     @property
@@ -58,7 +58,7 @@
     def server_fields(self, req: CallerRequest, server_id: str, time_left: Millis) -> HeaderFields:
         """Return the header fields with which a request is sent to a server."""
 
-    def read_answer(self, req: CallerRequest, reply: HttpReply) -> Reading:
+    def read_answer(self, req: CallerRequest, reply: HttpReply) -> ParsedAnswer:
         """Return what a server's answer means.
 
         Only an answer to this very request counts; one that echoes another request's id is a
--- a/src/alderhatch/node/forward_runner.py
+++ b/src/alderhatch/node/forward_runner.py
@@ -17,10 +17,10 @@
 from ..http.connection import HttpConnection
 from ..http.exchange import ExchangeFault, HttpExchangeError, HttpReply
 from ..loop_tasks import LoopTasks
-from .dialect import CallerRequest, Dialect, Reading
+from .dialect import CallerRequest, Dialect, ParsedAnswer
 from .node_state import NodeState
 
-LOSER_GRACE: Millis = 250.0
+CANCEL_GRACE_PERIOD: Millis = 250.0
 """How long an attempt that lost may still take before its connection is closed.
 
 A server that only paused ends its answer within this time and the connection can be used again; a
@@ -84,12 +84,12 @@
 
     async def _attempt(self, flight: _Flight, send: Send, scope: trio.CancelScope) -> None:
         reply: HttpReply | None = None
-        reading = Reading(AttemptFault.SILENT)
+        reading = ParsedAnswer(AttemptFault.SILENT)
         with scope:
             try:
                 reply, reading = await self._exchange(flight, send)
             except HttpExchangeError as exc:
-                reading = Reading(FAULTS[exc.fault])
+                reading = ParsedAnswer(FAULTS[exc.fault])
         now = self._clock.now()
         sent_at = self._table.record_end(send.target, send.attempt)
         if scope.cancelled_caught:
@@ -103,7 +103,7 @@
             self._table.record_answer(send.target, now - sent_at, reading.load, now)
         flight.ended(send.attempt, reading, reply, now)
 
-    async def _exchange(self, flight: _Flight, send: Send) -> tuple[HttpReply, Reading]:
+    async def _exchange(self, flight: _Flight, send: Send) -> tuple[HttpReply, ParsedAnswer]:
         server_id = send.target.server_id
         conn = self._pool.take_idle(server_id)
         if conn is None:
@@ -118,7 +118,7 @@
 
     async def _exchange_on(
         self, conn: HttpConnection, flight: _Flight, server_id: str
-    ) -> tuple[HttpReply, Reading]:
+    ) -> tuple[HttpReply, ParsedAnswer]:
         left = flight.run.times.deadline - self._clock.now()
         if left < MIN_TIME_LEFT:
             raise HttpExchangeError("no time is left", ExchangeFault.NOT_SENT)
@@ -177,7 +177,9 @@
         """Ask nobody else; what is out may end within its grace."""
         self._carry_out(self.run.stop())
 
-    def ended(self, attempt: int, reading: Reading, reply: HttpReply | None, now: Millis) -> None:
+    def ended(
+        self, attempt: int, reading: ParsedAnswer, reply: HttpReply | None, now: Millis
+    ) -> None:
         """Take what became of an attempt."""
         self._scopes.pop(attempt, None)
         if self.run.finished:
@@ -203,6 +205,8 @@
                     self._scopes[attempt] = self._runner.begin(self, effect)
                 case Cancel(attempt):
                     with suppress(KeyError):
-                        self._scopes[attempt].deadline = trio.current_time() + LOSER_GRACE / SECOND
+                        self._scopes[attempt].deadline = (
+                            trio.current_time() + CANCEL_GRACE_PERIOD / SECOND
+                        )
                 case Finish(outcome):
                     self._outcome = outcome
--- a/src/alderhatch/node/gather_messages.py
+++ b/src/alderhatch/node/gather_messages.py
@@ -78,7 +78,7 @@
         raise _refused(ErrorKind.NO_CONFIGURATION, "shards", message)
 
 
-def bundle_of(news: PartsNews, shards: tuple[str, ...], most_records: int) -> PartsBundle:
+def to_parts_bundle(news: PartsNews, shards: tuple[str, ...], most_records: int) -> PartsBundle:
     """Return the parts that another host says it has.
 
     Args:
--- a/src/alderhatch/node/hand_over_client.py
+++ b/src/alderhatch/node/hand_over_client.py
@@ -81,10 +81,10 @@
                 continue
             now = self._clock.now()
             for host in state.owners.hosts.values():
-                if host.name != state.name and self.is_sound(host.name, now):
+                if host.name != state.name and self.is_available(host.name, now):
                     self._link_to(host).keep()
 
-    def is_sound(self, name: str, now: Millis) -> bool:
+    def is_available(self, name: str, now: Millis) -> bool:
         """Return whether a host is not passed over just now."""
         return not self._targets.is_avoided(name, now)
 
--- a/src/alderhatch/node/node.py
+++ b/src/alderhatch/node/node.py
@@ -22,7 +22,7 @@
 from ..log_events import LogEvent
 from ..log_output import BoundedLogHandler
 from ..stop_signal import STOP_SIGNALS, wait_for_stop
-from .caller_side import CallerSide
+from .caller_handler import CallerHandler
 from .configuration_desk import ConfigurationDesk
 from .control_member import ControlMember
 from .dialect import Dialect
@@ -153,7 +153,7 @@
         self._gather_server = GatherServer(
             self.state, collector, dialect, self.metrics, self._request_log
         )
-        self.callers = CallerSide(
+        self.callers = CallerHandler(
             self.state,
             self._runner,
             dialect,
@@ -168,7 +168,7 @@
             lambda: self.state.stored.version,
             self._serving,
         )
-        self.desk = ConfigurationDesk(
+        self.configuration_service = ConfigurationDesk(
             self.member, self._register, cfg.tolerated_hosts, self.metrics.count_change
         )
 
--- a/src/alderhatch/node/request_log.py
+++ b/src/alderhatch/node/request_log.py
@@ -39,7 +39,7 @@
     span: Millis
 
 
-def end_of(outcome: Outcome, span: Millis) -> RequestEnd:
+def to_request_end(outcome: Outcome, span: Millis) -> RequestEnd:
     """Return how a request ended."""
     match outcome:
         case Answered(parts, missing):
@@ -69,7 +69,7 @@
         self._handed_since_sample = 0
         self._folded = 0
 
-    def ended(self, req: CallerRequest, run: ForwardRun, end: RequestEnd) -> None:
+    def log_end(self, req: CallerRequest, run: ForwardRun, end: RequestEnd) -> None:
         """Take a request that was answered or refused."""
         late = end.span > run.route.target_latency
         if end.outcome == "complete" and not late:
@@ -99,7 +99,7 @@
 
     def cancelled(self, req: CallerRequest, run: ForwardRun, span: Millis) -> None:
         """Take a request whose caller has gone; its work at servers is cancelled."""
-        self.ended(req, run, RequestEnd(CALLER_GONE, 0.0, span))
+        self.log_end(req, run, RequestEnd(CALLER_GONE, 0.0, span))
 
     def refused(self, req: CallerRequest, kind: str, message: str) -> None:
         """Take a request that was refused before it had a route or a configuration."""
--- a/src/alderhatch/node/server_list.py
+++ b/src/alderhatch/node/server_list.py
@@ -104,7 +104,7 @@
         if not self._works:
             log_event(LogEvent.SERVER_LIST_BACK, servers=len(listed))
         self._works = True
-        records = {record.server_id: self._steady(record) for record in listed}
+        records = {record.server_id: self._with_stable_warm_up(record) for record in listed}
         self._cold_ends = {
             name: self._cold_ends[name] for name in self._cold_ends if name in records
         }
@@ -114,7 +114,7 @@
             self._state.take_servers(records.values(), list(self._state.records))
         self._state.list_is_fresh()
 
-    def _steady(self, record: ServerRecord) -> ServerRecord:
+    def _with_stable_warm_up(self, record: ServerRecord) -> ServerRecord:
         """Return a record that differs from the last one only if the server itself does.
 
         The time left of a warm-up differs in each read. Passed on each time, it would make every
--- a/src/alderhatch/node/split_gather.py
+++ b/src/alderhatch/node/split_gather.py
@@ -27,7 +27,7 @@
 from ..log import log_event
 from ..log_events import LogEvent
 from .dialect import CallerRequest
-from .gather_messages import PartsNews, PartsRequest, bundle_of
+from .gather_messages import PartsNews, PartsRequest, to_parts_bundle
 from .hand_over_client import HandOverClient
 from .hand_over_link import HandOverLostError
 from .hand_over_messages import to_fields
@@ -52,7 +52,7 @@
         self.collector = collector
         self.links = links
 
-    def begin(self, req: CallerRequest, route: Route, times: RunTimes) -> SplitGather | None:
+    def create(self, req: CallerRequest, route: Route, times: RunTimes) -> SplitGather | None:
         """Return a gather that has not asked anybody yet; None if this host does better alone."""
         destination = route.destination
         if not isinstance(destination, AllShards):
@@ -62,7 +62,7 @@
             destination.shards,
             self.state.owners,
             self.state.name,
-            lambda name: self.links.is_sound(name, now),
+            lambda name: self.links.is_available(name, now),
         )
         if plan is None or not self._is_servable(destination, now):
             return None
@@ -179,7 +179,7 @@
 
     async def _ask_host(self, number: int, share: HostShare, nursery: trio.Nursery) -> None:
         def take(news: PartsNews) -> None:
-            bundle = bundle_of(news, share.shards, self._most_records)
+            bundle = to_parts_bundle(news, share.shards, self._most_records)
             self._carry_out(self.split.on_parts(number, bundle, self._clock.now()), nursery)
 
         with self._scope(number):
--- a/src/alderhatch/platform/dialect.py
+++ b/src/alderhatch/platform/dialect.py
@@ -14,7 +14,7 @@
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..http.exchange import HttpReply
 from ..http.messages import HeaderFields, HttpRequest, HttpResponse
-from ..node.dialect import CallerRequest, Reading
+from ..node.dialect import CallerRequest, ParsedAnswer
 from . import wire_names as wire
 
 BINARY = "application/octet-stream"
@@ -44,12 +44,12 @@
     def server_fields(self, req: CallerRequest, server_id: str, time_left: Millis) -> HeaderFields:
         """Return the header fields with which a request is sent to a server."""
         return [
-            *req.passed_on,
+            *req.forwarded_fields,
             (wire.TIME_LEFT, b"%d" % time_left),
             (wire.EXPECTED_SERVER, server_id.encode("ascii")),
         ]
 
-    def read_answer(self, req: CallerRequest, reply: HttpReply) -> Reading:
+    def read_answer(self, req: CallerRequest, reply: HttpReply) -> ParsedAnswer:
         """Return what a server's answer means."""
         echo = reply.header(wire.REQUEST_ID)
         # An extra answer to an earlier request may come where this one's is expected. Whoever took
@@ -59,17 +59,17 @@
             reply.status < 300 if echo is None else echo.decode("latin-1") != req.request_id
         )
         if is_foreign:
-            return Reading(AttemptFault.WRONG_ANSWER)
+            return ParsedAnswer(AttemptFault.WRONG_ANSWER)
         load = _load(reply)
         if reply.status == 421:
-            return Reading(AttemptFault.MOVED, load)
+            return ParsedAnswer(AttemptFault.MOVED, load)
         if reply.header(wire.NOT_RUN) is not None:
-            return Reading(AttemptFault.SHED, load, _retry_after(reply))
+            return ParsedAnswer(AttemptFault.SHED, load, _retry_after(reply))
         if reply.status >= 500:
-            return Reading(AttemptFault.FAILED, load)
+            return ParsedAnswer(AttemptFault.FAILED, load)
         if reply.header(wire.SEAL) is None or reply.header(wire.ENCODING) is not None:
-            return Reading(AttemptFault.GARBAGE, load)
-        return Reading(None, load)
+            return ParsedAnswer(AttemptFault.GARBAGE, load)
+        return ParsedAnswer(None, load)
 
     def bundle(self, destination: AllShards, replies: Mapping[str, HttpReply]) -> PartsBundle:
         """Return the answers of some shards, by their names, merged."""
