--- a/features/steps/hand_over_steps.py
+++ b/features/steps/hand_over_steps.py
@@ -20,7 +20,7 @@
 from alderhatch.link import LinkClosedError, Peer, open_link, serve_links
 from alderhatch.node.caller_handler import CallerHandler
 from alderhatch.node.hand_over_client import HandOverClient
-from alderhatch.node.hand_over_link import SILENCE
+from alderhatch.node.hand_over_link import SILENCE_TIMEOUT
 from alderhatch.node.hand_over_messages import (
     HAND_OVER_MESSAGE_TYPES,
     HAND_OVER_ROLE,
@@ -36,26 +36,26 @@
 
 SECRET = b"the secret of a tier of the tests"
 CODEC = Codec(*HAND_OVER_MESSAGE_TYPES)
-PATIENCE_S = 30
+TIMEOUT_S = 30
 DEADLINE = 2000.0
 VERSION = 7
 FIELDS = [(b"x-note", b"one"), (b"x-note", b"two")]
 REFUSALS = {
-    "stands by as well": ErrorKind.NOT_SERVING,
-    "is about to end": ErrorKind.STOPPING,
-    "has no such configuration yet": ErrorKind.NO_CONFIGURATION,
+    "is a standby host as well": ErrorKind.NOT_SERVING,
+    "is stopping": ErrorKind.STOPPING,
+    "lacks the configuration version": ErrorKind.NO_CONFIGURATION,
     "is overloaded": ErrorKind.OVERLOADED,
-    "knows no route for it": ErrorKind.NOT_FOUND,
-    "has a fault": ErrorKind.INTERNAL,
+    "has no route for it": ErrorKind.NOT_FOUND,
+    "has an internal error": ErrorKind.INTERNAL,
 }
 
 
 # Decisions
 
 
-@given('a host that stands by, and others "{names}" that serve callers')
-@given('a host that stands by, and others "" that serve callers')
-def step_others(context, names=""):
+@given('a standby host, and active hosts "{names}"')
+@given('a standby host, and active hosts ""')
+def step_active_hosts(context, names=""):
     context.hosts = [
         HostRecord(name, f"zone-{index % 2}", f"{name}:1", True, 1.0)
         for index, name in enumerate(names.split())
@@ -64,19 +64,19 @@
     context.targets = HandOverTargets("me", "zone-0", Random(1))
 
 
-def hand_over(context, happens, now=0.0):
-    """Run one request; ``happens`` says what becomes of it at each host that is asked."""
+def run_hand_over(context, result_at, now=0.0):
+    """Hand a request over; ``result_at`` maps the number of the attempt to its result."""
     run = HandOverRun(context.targets, lambda: context.hosts, DEADLINE)
-    context.asked = []
+    context.tried = []
     context.ended = None
     try:
         while True:
             host = run.next_host(now)
-            context.asked.append(host.name)
-            what = happens(len(context.asked))
+            context.tried.append(host.name)
+            what = result_at(len(context.tried))
             if what == "answers":
                 return
-            if what == "can't be reached":
+            if what == "cannot be reached":
                 run.lost(host, False, now)
             elif what == "is lost while it has the request":
                 run.lost(host, True, now)
@@ -86,56 +86,56 @@
         context.ended = exc.failure.kind
 
 
-@when("a request is handed over, and the first one {what}")
-def step_first(context, what):
-    hand_over(context, lambda number: what if number == 1 else "answers")
+@when("a request is handed over, and the first host {what}")
+def step_first_host(context, what):
+    run_hand_over(context, lambda number: what if number == 1 else "answers")
 
 
 @when("a request is handed over, and no host can be reached")
-def step_none_reached(context):
-    hand_over(context, lambda number: "can't be reached")
+def step_none_reachable(context):
+    run_hand_over(context, lambda number: "cannot be reached")
 
 
-@when("a request is handed over, and every host is about to end")
-def step_all_end(context):
-    hand_over(context, lambda number: "is about to end")
+@when("a request is handed over, and every host is stopping")
+def step_all_stopping(context):
+    run_hand_over(context, lambda number: "is stopping")
 
 
-@when("a request is handed over, and its caller's time is up")
-def step_time_up(context):
-    hand_over(context, lambda number: "answers", now=DEADLINE)
+@when("a request is handed over, and its caller's deadline passed")
+def step_deadline_passed(context):
+    run_hand_over(context, lambda number: "answers", now=DEADLINE)
 
 
-@then("one host was asked")
-def step_one(context):
-    assert len(context.asked) == 1 and context.ended is None, (context.asked, context.ended)
+@then("one host was tried")
+def step_one_tried(context):
+    assert len(context.tried) == 1 and context.ended is None, (context.tried, context.ended)
 
 
-@then("another host was asked")
-def step_another(context):
-    assert len(set(context.asked)) == 2 and context.ended is None, (context.asked, context.ended)
+@then("another host was tried")
+def step_another_tried(context):
+    assert len(set(context.tried)) == 2 and context.ended is None, (context.tried, context.ended)
 
 
 @then('the request ended as "{kind}"')
 def step_ended(context, kind):
-    assert len(context.asked) == 1 and context.ended == kind, (context.asked, context.ended)
+    assert len(context.tried) == 1 and context.ended == kind, (context.tried, context.ended)
 
 
-@then('{count:d} hosts were asked, and the request ended as "{kind}"')
-def step_asked(context, count, kind):
-    assert len(set(context.asked)) == len(context.asked) == count, context.asked
+@then('{count:d} hosts were tried, and the request ended as "{kind}"')
+def step_hosts_tried(context, count, kind):
+    assert len(set(context.tried)) == len(context.tried) == count, context.tried
     assert context.ended == kind, context.ended
 
 
-def chosen(context):
+def chosen_hosts(context):
     return {context.targets.choose(context.hosts, (), context.now).name for _ in range(50)}
 
 
 @then('requests go to the hosts of its zone, "{names}"')
 @then('requests go to the hosts of the other zone, "{names}"')
 @then('requests go to "{names}" only')
-def step_chosen(context, names):
-    assert chosen(context) == set(names.split()), chosen(context)
+def step_hosts_chosen(context, names):
+    assert chosen_hosts(context) == set(names.split()), chosen_hosts(context)
 
 
 @when('"{name}" could not be reached')
@@ -143,7 +143,7 @@
     context.targets.avoid(name, context.now)
 
 
-@when("{span:d} ms pass for the host that stands by")
+@when("{span:d} ms pass for the standby host")
 def step_time(context, span):
     context.now += span
 
@@ -151,8 +151,8 @@
 # Links
 
 
-class Beliefs:
-    """What the host that stands by believes, as far as a test needs it."""
+class StandbyState:
+    """The parts of a standby host's ``NodeState`` that ``HandOverClient`` uses."""
 
     def __init__(self, port):
         self.name = "me"
@@ -164,28 +164,28 @@
         self.seen_version = max(self.seen_version, version)
 
 
-class OtherHost:
-    """The host that serves callers."""
+class ActiveHost:
+    """An active host that answers each request after ``service_time`` with the reversed body."""
 
     def __init__(self):
         self.requests = []
         self.times_left = []
         self.cancelled = trio.Event()
-        self.begun = trio.Event()
-        self.span = 0.0
+        self.request_started = trio.Event()
+        self.service_time = 0.0
         self.serving = ServeState()
         self.server = HandOverServer(self.answer, None, lambda: VERSION, self.serving)
         self.links = []
-        self.is_mute = False
+        self.is_silent = False
 
     async def answer(self, http, time_left, version):
         if version > VERSION:
             raise AlderhatchError(Failure(ErrorKind.NO_CONFIGURATION, "not yet"))
         self.requests.append(http)
         self.times_left.append(time_left)
-        self.begun.set()
+        self.request_started.set()
         try:
-            await trio.sleep(self.span / SECOND)
+            await trio.sleep(self.service_time / SECOND)
         except trio.Cancelled:
             self.cancelled.set()
             raise
@@ -193,51 +193,53 @@
 
     async def handle(self, link):
         self.links.append(link)
-        if self.is_mute:
+        if self.is_silent:
             await link.receive()
-            self.begun.set()
+            self.request_started.set()
             await trio.sleep_forever()
         await self.server.serve(link)
 
 
-@given("a host that serves callers, reached over a link")
-def step_other(context):
-    context.span = 0.0
-    context.is_mute = False
+@given("an active host, reached over a link")
+def step_active_host(context):
+    context.service_time = 0.0
+    context.is_silent = False
 
 
-@given("a host that takes links and requests, and says nothing more")
-def step_mute(context):
-    step_other(context)
-    context.is_mute = True
+@given("an active host that accepts links and requests, and sends nothing")
+def step_silent_host(context):
+    step_active_host(context)
+    context.is_silent = True
 
 
 def request(body=b"a body"):
     return HttpRequest("POST", "/a/b", {"c": "d"}, {}, body, "/a/b?c=d", list(FIELDS), True, 1.5)
 
 
-def play(context, script):
-    """Run a coroutine function with the other host, a client of it and a nursery."""
+def run_with_active_host(context, script):
+    """Run ``script`` with an active host, a client of it and a nursery."""
 
     async def main():
-        other = context.other = OtherHost()
-        other.span = context.span
-        other.is_mute = context.is_mute
+        active_host = context.active_host = ActiveHost()
+        active_host.service_time = context.service_time
+        active_host.is_silent = context.is_silent
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = context.port = listeners[0].socket.getsockname()[1]
-        with trio.fail_after(PATIENCE_S):
+        with trio.fail_after(TIMEOUT_S):
             async with trio.open_nursery() as nursery:
-                me = Peer("other", "control")
-                nursery.start_soon(serve_links, listeners, CODEC, SECRET, me, other.handle)
-                client = HandOverClient(Beliefs(port), CODEC, SECRET, Random(1))
+                local_peer = Peer("other", "control")
+                nursery.start_soon(
+                    serve_links, listeners, CODEC, SECRET, local_peer, active_host.handle
+                )
+                client = HandOverClient(StandbyState(port), CODEC, SECRET, Random(1))
                 await nursery.start(client.run)
-                await script(other, client, nursery)
+                await script(active_host, client, nursery)
                 nursery.cancel_scope.cancel()
 
     trio.run(main)
 
 
-async def ask(context, client, time_left=60 * SECOND, body=b"a body"):
+async def hand_request_over(context, client, time_left=60 * SECOND, body=b"a body"):
     context.failure = context.handed = None
     try:
         context.handed = await client.hand_over(request(body), time_left)
@@ -245,28 +247,28 @@
         context.failure = exc.failure
 
 
-@when("a request with a body of {size:d} bytes is handed to it")
-def step_ask(context, size):
-    async def script(other, client, nursery):
-        await ask(context, client, body=bytes(size - 1) + b"x")
+@when("a request with a body of {size:d} bytes is handed over to it")
+def step_hand_over_body(context, size):
+    async def script(active_host, client, nursery):
+        await hand_request_over(context, client, body=bytes(size - 1) + b"x")
 
-    play(context, script)
+    run_with_active_host(context, script)
 
 
-@when("a request is handed to it")
-def step_ask_any(context):
-    step_ask(context, 10)
+@when("a request is handed over to it")
+def step_hand_over_any(context):
+    step_hand_over_body(context, 10)
 
 
-@when("a request that takes three times as long as a silent link is kept is handed to it")
-def step_ask_slow(context):
-    context.span = 3 * SILENCE
-    step_ask(context, 10)
+@when("a request that takes three times the silence timeout is handed over to it")
+def step_hand_over_slow(context):
+    context.service_time = 3 * SILENCE_TIMEOUT
+    step_hand_over_body(context, 10)
 
 
-@then("it was answered as if it had come from its caller")
+@then("the request was answered as if its caller had sent it directly")
 def step_answered(context):
-    (http,) = context.other.requests
+    (http,) = context.active_host.requests
     res = context.handed.response
     assert (http.method, http.path, http.query, http.target) == (
         "POST",
@@ -279,138 +281,138 @@
     assert list(res.fields) == [*FIELDS, (b"x-more", b"1")], res.fields
 
 
-@then("it had the time that its caller had left")
+@then("the request had its caller's remaining time")
 def step_time_left(context):
-    (left,) = context.other.times_left
+    (left,) = context.active_host.times_left
     assert 50 * SECOND < left <= 60 * SECOND, left
 
 
-@when("a request is handed to it, and its caller leaves")
+@when("a request is handed over to it, and its caller leaves")
 def step_leaves(context):
-    async def script(other, client, nursery):
-        other.span = 60 * SECOND
+    async def script(active_host, client, nursery):
+        active_host.service_time = 60 * SECOND
         with trio.CancelScope() as scope:
-            nursery.start_soon(wait_then, other.begun, scope.cancel)
-            await ask(context, client)
-        await other.cancelled.wait()
-        other.span = 0.0
-        await ask(context, client)
+            nursery.start_soon(call_after, active_host.request_started, scope.cancel)
+            await hand_request_over(context, client)
+        await active_host.cancelled.wait()
+        active_host.service_time = 0.0
+        await hand_request_over(context, client)
 
-    play(context, script)
+    run_with_active_host(context, script)
 
 
-async def wait_then(event, act):
+async def call_after(event, callback):
     await event.wait()
-    act()
+    callback()
 
 
-@then("the other host has cancelled it, and its link serves on")
-def step_cancelled_serves(context):
-    assert context.other.cancelled.is_set()
+@then("the active host has cancelled it, and its link still works")
+def step_cancelled_link_works(context):
+    assert context.active_host.cancelled.is_set()
     assert context.handed.response.status == 203
-    assert len(context.other.links) == 1
+    assert len(context.active_host.links) == 1
 
 
-@when("a request is handed to it, and the host that handed it over is lost")
-def step_client_lost(context):
-    async def script(other, client, nursery):
-        other.span = 60 * SECOND
-        me = Peer("me", HAND_OVER_ROLE)
-        async with open_link("127.0.0.1", context.port, CODEC, SECRET, me) as link:
-            await link.send(message())
-            await other.begun.wait()
-        await other.cancelled.wait()
+@when("a request is handed over to it, and the standby host is lost")
+def step_standby_host_lost(context):
+    async def script(active_host, client, nursery):
+        active_host.service_time = 60 * SECOND
+        local_peer = Peer("me", HAND_OVER_ROLE)
+        async with open_link("127.0.0.1", context.port, CODEC, SECRET, local_peer) as link:
+            await link.send(request_message())
+            await active_host.request_started.wait()
+        await active_host.cancelled.wait()
 
-    play(context, script)
+    run_with_active_host(context, script)
 
 
-@then("the other host has cancelled it")
+@then("the active host has cancelled it")
 def step_cancelled(context):
-    assert context.other.cancelled.is_set()
+    assert context.active_host.cancelled.is_set()
 
 
-@then('the request ended as "{kind}" while its caller still waits')
+@then('the request ended as "{kind}" before its caller\'s deadline')
 def step_ended_early(context, kind):
     assert context.failure.kind == kind, context.failure
 
 
-def message(**changes):
-    whole = HandedRequest(1, "GET", "/a", [], b"", 1000.0, False, 0.0, VERSION)
-    return whole._replace(**changes)
+def request_message(**changes):
+    valid = HandedRequest(1, "GET", "/a", [], b"", 1000.0, False, 0.0, VERSION)
+    return valid._replace(**changes)
 
 
-WRONG = {
+INVALID_FIELDS = {
     "no time left": {"time_left": -5.0},
-    "a target that is no path": {"target": "http://[::1"},
-    "a configuration that nobody has": {"version": VERSION + 1},
+    "an invalid target": {"target": "http://[::1"},
+    "an unknown configuration": {"version": VERSION + 1},
 }
 
 
-@when("it is handed a request with {what}")
-def step_wrong(context, what):
-    async def script(other, client, nursery):
-        me = Peer("me", HAND_OVER_ROLE)
-        async with open_link("127.0.0.1", context.port, CODEC, SECRET, me) as link:
-            await link.send(message(**WRONG[what]))
+@when("it receives a request with {what}")
+def step_invalid_request(context, what):
+    async def script(active_host, client, nursery):
+        local_peer = Peer("me", HAND_OVER_ROLE)
+        async with open_link("127.0.0.1", context.port, CODEC, SECRET, local_peer) as link:
+            await link.send(request_message(**INVALID_FIELDS[what]))
             context.reply = await link.receive()
-            await link.send(message(number=2))
+            await link.send(request_message(number=2))
             context.next_reply = await link.receive()
 
-    play(context, script)
+    run_with_active_host(context, script)
 
 
-@then('it refuses that as "{kind}", naming "{field}", and its link serves on')
-@then('it refuses that as "{kind}", naming "", and its link serves on')
+@then('it refuses that as "{kind}", naming "{field}", and its link still works')
+@then('it refuses that as "{kind}", naming "", and its link still works')
 def step_refused(context, kind, field=None):
     assert isinstance(context.reply, HandedRefusal), context.reply
     assert (context.reply.kind, context.reply.field) == (kind, field), context.reply
     assert isinstance(context.next_reply, HandedAnswer), context.next_reply
-    assert len(context.other.requests) == 1
+    assert len(context.active_host.requests) == 1
 
 
-@when("it is sent a request whose target is a number")
-def step_no_message(context):
-    async def script(other, client, nursery):
-        me = Peer("me", HAND_OVER_ROLE)
-        async with open_link("127.0.0.1", context.port, CODEC, SECRET, me) as link:
-            await link.send(message(target=5))
+@when("it receives a request whose target is a number")
+def step_invalid_message(context):
+    async def script(active_host, client, nursery):
+        local_peer = Peer("me", HAND_OVER_ROLE)
+        async with open_link("127.0.0.1", context.port, CODEC, SECRET, local_peer) as link:
+            await link.send(request_message(target=5))
             try:
                 context.reply = await link.receive()
             except LinkClosedError:
                 context.reply = None
 
-    context.refused = []
+    context.refusals = []
     with patch.object(
-        link_module, "log_event", lambda event, **fields: context.refused.append(fields)
+        link_module, "log_event", lambda event, **fields: context.refusals.append(fields)
     ):
-        play(context, script)
+        run_with_active_host(context, script)
 
 
 @then('that link is closed, and the log names the field "{field}"')
-def step_closed(context, field):
+def step_link_closed(context, field):
     assert context.reply is None
-    (fields,) = context.refused
+    (fields,) = context.refusals
     assert (fields["peer"], fields["field"]) == ("me", field), fields
 
 
 @then('it is refused as "{kind}", naming "{field}", and nothing was sent')
 def step_too_large(context, kind, field):
     assert (context.failure.kind, context.failure.field) == (kind, field)
-    assert not context.other.links
+    assert not context.active_host.links
 
 
-@when("a request is handed to it, and it counts what it has under way")
-def step_counts(context):
-    async def script(other, client, nursery):
-        other.span = 200.0
-        nursery.start_soon(partial(ask, context, client))
-        await other.begun.wait()
-        context.during = other.serving.exchanges
+@when("a request is handed over to it, and its requests in progress are counted")
+def step_count_in_progress(context):
+    async def script(active_host, client, nursery):
+        active_host.service_time = 200.0
+        nursery.start_soon(partial(hand_request_over, context, client))
+        await active_host.request_started.wait()
+        context.during = active_host.serving.exchanges
         while context.handed is None:
             await trio.sleep(0.01)
-        context.after = other.serving.exchanges
+        context.after = active_host.serving.exchanges
 
-    play(context, script)
+    run_with_active_host(context, script)
 
 
 @then("it counts one, and none once it has answered")
@@ -418,39 +420,39 @@
     assert (context.during, context.after) == (1, 0), (context.during, context.after)
 
 
-# Who stands by
+# Standby hosts
 
 
-@then("at least {least:d} and at most {most:d} hosts were told the list of servers")
-def step_told_servers(context, least, most):
-    context.script.insert(0, give_list)
+@then("at least {least:d} and at most {most:d} hosts received the server list")
+def step_received_list(context, least, most):
+    context.script.insert(0, send_server_list)
     tier = played(context)
     count = sum(bool(host.heard(ServerNews)) for host in tier.hosts)
     assert least <= count <= most, count
 
 
-async def give_list(tier):
+async def send_server_list(tier):
     tier.server.take_list(server_list(20))
 
 
-@then("each of the others was told that it stands by")
+@then("each of the others was told that it is a standby host")
 def step_told_standing(context):
     for host in context.tier.hosts:
         stands_by = host.heard(Standing) == [Standing(True)]
         assert stands_by != bool(host.heard(ServerNews)), host.name
 
 
-@when("the last host asks for the list of servers")
-def step_wants(context):
-    async def want(tier):
-        await give_list(tier)
+@when("the last host requests the server list")
+def step_request_list(context):
+    async def request_list(tier):
+        await send_server_list(tier)
         tier.hosts[-1].wants_servers = True
 
-    context.script.append(want)
+    context.script.append(request_list)
 
 
-@then("the last host was told the list of servers")
-def step_last_told(context):
+@then("the last host received the server list")
+def step_last_received_list(context):
     host = played(context).hosts[-1]
     assert host.heard(Standing) == [Standing(True), Standing(False)]
     assert len(host.heard(ServerNews)) == 1
@@ -459,35 +461,35 @@
 # Configurations
 
 
-@given("a host that stands by with configuration {own:d}, for which another one served by {seen:d}")
+@given("a standby host with configuration {own:d}, for which an active host served by {seen:d}")
 def step_versions(context, own, seen):
-    context.beliefs = node_before_servers(context, "me", 20)
-    context.beliefs.stored = StoredConfiguration(own, b"")
-    context.beliefs.take_standing(True)
-    context.beliefs.saw_version(seen)
+    context.node_state = node_before_servers(context, "me", 20)
+    context.node_state.stored = StoredConfiguration(own, b"")
+    context.node_state.take_standing(True)
+    context.node_state.saw_version(seen)
     context.seen = seen
 
 
-@then("it hands requests over with {version:d} as the least configuration")
-def step_least(context, version):
-    client = HandOverClient(context.beliefs, CODEC, SECRET, Random(1))
-    assert client._message(request(), 1000.0).version == version
+@then("it hands requests over with {version:d} as the oldest valid configuration")
+def step_oldest_version(context, version):
+    client = HandOverClient(context.node_state, CODEC, SECRET, Random(1))
+    assert client._to_message(request(), 1000.0).version == version
 
 
-@when("it serves by itself")
-def step_serves(context):
-    context.beliefs.take_standing(False)
+@when("it becomes an active host")
+def step_becomes_active(context):
+    context.node_state.take_standing(False)
 
 
 @then('its callers are refused as "{kind}" until it has {version:d}')
 def step_refused_until(context, kind, version):
-    side = CallerHandler(context.beliefs, None, None, None, None, None, None)
+    handler = CallerHandler(context.node_state, None, None, None, None, None, None)
     req = SimpleNamespace(host="a", http=request())
     kinds = []
     for held in (version - 1, version):
-        context.beliefs.stored = StoredConfiguration(held, b"")
+        context.node_state.stored = StoredConfiguration(held, b"")
         try:
-            side._route_of(req)
+            handler._route_of(req)
         except AlderhatchError as exc:
             kinds.append(exc.failure.kind)
     assert kinds == [kind, ErrorKind.NOT_FOUND], kinds
--- a/src/alderhatch/node/caller_handler.py
+++ b/src/alderhatch/node/caller_handler.py
@@ -1,4 +1,4 @@
-"""Answers callers: finds the route, runs the request, and says which addresses to use."""
+"""Handles callers' requests and tells callers which host addresses to use."""
 
 from __future__ import annotations
 
@@ -25,36 +25,36 @@
 from .request_log import RequestLog, to_request_end
 from .split_gather import SplitGather, SplitGathers
 
-FIRST_ROUND_TRIPS = 2.0
-"""A caller's new connection takes a round trip, its request and its answer another."""
-LATER_ROUND_TRIPS = 1.0
-NO_CONFIGURATION_RETRY: Millis = 300.0
-START_SPAN: Millis = 2500.0
-"""How long after its start a node may still be expected to become ready: an election, the leader's
-introduction and the first news take some 1.5 s when all hosts start at once."""
-START_SHARE = 0.4
-"""The part of its time that a request is kept for that; the rest is for the request itself."""
-VERSION_WAIT: Millis = 300.0
-"""How long a handed over request waits for a configuration that its host has seen already."""
+NEW_CONNECTION_ROUND_TRIPS = 2.0
+"""One round trip opens the connection, another carries the request and its answer."""
+REUSED_CONNECTION_ROUND_TRIPS = 1.0
+NO_CONFIGURATION_RETRY_AFTER: Millis = 300.0
+STARTUP_WINDOW: Millis = 2500.0
+"""How long after its start a node is expected to become ready. When all hosts start at once, the
+election, the leader's announcement and the first updates take some 1.5 s."""
+STARTUP_WAIT_FRACTION = 0.4
+"""Fraction of its remaining time that a request may wait for startup; the rest is for its run."""
+VERSION_WAIT_TIMEOUT: Millis = 300.0
+"""How long a handed over request waits for a configuration version that its sender has seen."""
 ANSWERED = "answered"
-MAX_WAITING = 200
+MAX_STARTUP_WAITERS = 200
 MIN_ZONE_HOSTS = 2
-"""With fewer serving hosts in a caller's zone the hosts of all zones are named, so that the loss of
-one leaves the caller another."""
+"""With fewer active hosts in the caller's zone, the hosts of all zones are returned, so that the
+caller still has a host after the loss of one."""
 MAX_ADDRESSES = 64
 
 
 class CallerHandler:
-    """Serves callers by what the node believes.
+    """Handles callers' requests: runs them, splits them among hosts or hands them over.
 
     Args:
-        state: The node's beliefs.
-        runner: Carries requests out.
+        state: The node's state.
+        runner: Runs requests against servers.
         dialect: Reads and writes the protocol.
         metrics: Counts requests.
-        log: Writes a line about those that have one.
-        hand_over_client: Has other hosts answer while this one stands by.
-        gathers: Has other hosts ask for shares of large gathers.
+        log: Logs requests.
+        hand_over_client: Hands requests over to active hosts while this one is a standby host.
+        gathers: Splits large gathers among hosts.
     """
 
     def __init__(
@@ -75,22 +75,22 @@
         self._hand_over_client = hand_over_client
         self._gathers = gathers
         self._clock = LoopClock()
-        self._splits: dict[str, WeightedRoundRobin] = {}
-        self._longest: dict[str, Millis] = {}
-        self._own_times: dict[str, ResponseLeadTime] = {}
-        self._waiting = 0
-        self._began = 0.0
-        """When the node began to take requests."""
+        self._upstream_pickers: dict[str, WeightedRoundRobin] = {}
+        self._max_time_left: dict[str, Millis] = {}
+        self._lead_times: dict[str, ResponseLeadTime] = {}
+        self._startup_waiters = 0
+        self._accepting_since = 0.0
+        """When the node began to accept requests."""
 
-    def begin(self) -> None:
-        """Note that the node takes requests from now on."""
-        self._began = self._clock.now()
+    def start_accepting(self) -> None:
+        """Record that the node accepts requests from now on."""
+        self._accepting_since = self._clock.now()
 
     async def handle(self, http: HttpRequest) -> HttpResponse:
         """Answer one request.
 
         Raises:
-            AlderhatchError: If it is not even begun.
+            AlderhatchError: If the request is refused, or handed over and not answered.
         """
         arrived = self._clock.now()
         req = self._dialect.read_request(http)
@@ -98,36 +98,40 @@
             return await self._hand_over(req, arrived)
         return await self._serve(req, arrived)
 
-    async def handle_handed(
+    async def handle_handed_over(
         self, http: HttpRequest, time_left: Millis | None, version: int
     ) -> HttpResponse:
         """Answer a request that another host has handed over.
 
         Args:
-            http: The request as that host got it.
-            time_left: How long its caller waits from now on, if it said so.
-            version: The least configuration that may decide about it.
+            http: The request as that host received it.
+            time_left: How long the caller still waits; None if it set no limit.
+            version: The oldest configuration version that may serve the request.
 
         Raises:
-            AlderhatchError: If it is not even begun.
+            AlderhatchError: If the request is refused before it runs.
         """
         arrived = self._clock.now()
         req = self._dialect.read_request(http)._replace(time_left=time_left)
         if self._state.hands_over:
-            # Each of the two would hand it to the other again and again.
-            raise _refused(ErrorKind.NOT_SERVING, "this host stands by as well")
+            # Two standby hosts would hand the request back and forth.
+            raise _error(ErrorKind.NOT_SERVING, "this host is a standby host as well")
         await self._wait_for_version(version)
         return await self._serve(req, arrived)
 
     async def _wait_for_version(self, version: int) -> None:
-        """Wait a moment for a configuration that another host has seen already."""
+        """Wait for a configuration version that another host has already seen.
+
+        Raises:
+            AlderhatchError: If the version does not arrive within ``VERSION_WAIT_TIMEOUT``.
+        """
         state = self._state
-        until = self._clock.now() + VERSION_WAIT
+        deadline = self._clock.now() + VERSION_WAIT_TIMEOUT
         while state.stored.version < version:
-            if self._clock.now() >= until:
-                message = f"this host has no configuration {version} yet"
-                raise _refused(ErrorKind.NO_CONFIGURATION, message, NO_CONFIGURATION_RETRY)
-            await state.configured.wait_for(until - self._clock.now())
+            if self._clock.now() >= deadline:
+                message = f"this host has not received configuration version {version} yet"
+                raise _error(ErrorKind.NO_CONFIGURATION, message, NO_CONFIGURATION_RETRY_AFTER)
+            await state.configured.wait_for(deadline - self._clock.now())
 
     async def _hand_over(self, req: CallerRequest, arrived: Millis) -> HttpResponse:
         try:
@@ -137,10 +141,10 @@
             if kind is ErrorKind.NOT_SERVING:
                 self._state.need_servers()
             self._metrics.count_handed_over(kind)
-            self._log.handed_over(req, None, kind, self._clock.now() - arrived)
+            self._log.log_handed_over(req, None, kind, self._clock.now() - arrived)
             raise
         self._metrics.count_handed_over(ANSWERED)
-        self._log.handed_over(req, handed.host, ANSWERED, self._clock.now() - arrived)
+        self._log.log_handed_over(req, handed.host, ANSWERED, self._clock.now() - arrived)
         return handed.response
 
     async def _serve(self, req: CallerRequest, arrived: Millis) -> HttpResponse:
@@ -150,33 +154,33 @@
             self._check_quarantine(req)
         except AlderhatchError as exc:
             self._metrics.count_refused(exc.failure.kind)
-            self._log.refused(req, exc.failure.kind, exc.failure.message)
+            self._log.log_refused(req, exc.failure.kind, exc.failure.message)
             raise
-        times = self._times(route, req, arrived)
+        times = self._run_times(route, req, arrived)
         gather = self._gathers.create(req, route, times)
         if gather is not None:
             return await self._gather(gather, req)
         run = ForwardRun(route, self._upstreams(route), times, self._state.table)
         with self._logged_if_cancelled(req, run):
             outcome = await self._runner.forward(req, run)
-        return self._end(req, run, outcome, run.omitted_late_parts)
+        return self._finish(req, run, outcome, run.omitted_late_parts)
 
     async def _gather(self, gather: SplitGather, req: CallerRequest) -> HttpResponse:
-        with self._logged_if_cancelled(req, gather.own):
+        with self._logged_if_cancelled(req, gather.own_run):
             outcome = await gather.run()
-        for run in gather.again:
-            self._metrics.count_steps(run)
-        return self._end(req, gather.own, outcome, gather.split.omitted_late_parts)
+        for run in gather.repeat_runs:
+            self._metrics.count_decisions(run)
+        return self._finish(req, gather.own_run, outcome, gather.split.omitted_late_parts)
 
-    def _end(
+    def _finish(
         self, req: CallerRequest, run: ForwardRun, outcome: Outcome, omitted_late_parts: bool
     ) -> HttpResponse:
         end = to_request_end(outcome, self._clock.now() - run.times.arrived)
-        self._metrics.count(run, end)
+        self._metrics.count_request(run, end)
         self._log.log_end(req, run, end)
         res = self._dialect.response(run.route, outcome)
         if omitted_late_parts:
-            self._own_time(run.route).record_overrun(self._clock.now() - run.due)
+            self._lead_time(run.route).record_overrun(self._clock.now() - run.due)
         return res
 
     @contextmanager
@@ -184,17 +188,17 @@
         try:
             yield
         except trio.Cancelled:
-            self._log.cancelled(req, run, self._clock.now() - run.times.arrived)
+            self._log.log_cancelled(req, run, self._clock.now() - run.times.arrived)
             raise
 
-    def _own_time(self, route: Route) -> ResponseLeadTime:
-        return self._own_times.setdefault(route.name, ResponseLeadTime())
+    def _lead_time(self, route: Route) -> ResponseLeadTime:
+        return self._lead_times.setdefault(route.name, ResponseLeadTime())
 
     def _route_of(self, req: CallerRequest) -> Route:
-        # The version that another host served a caller of this one by may not have come yet.
+        # A host that answered for this one may have a version that has not arrived here yet.
         if self._state.stored.version == 0 or self._state.stored.version < self._state.seen_version:
-            message = "this host has no configuration yet"
-            raise _refused(ErrorKind.NO_CONFIGURATION, message, NO_CONFIGURATION_RETRY)
+            message = "this host has not received the current configuration yet"
+            raise _error(ErrorKind.NO_CONFIGURATION, message, NO_CONFIGURATION_RETRY_AFTER)
         route = self._state.routes.find(req.host, req.http.path)
         if route is None:
             message = f"no route for host {req.host!r} and path {req.http.path!r}"
@@ -209,52 +213,58 @@
             )
 
     async def _wait_for_start(self, req: CallerRequest, arrived: Millis) -> None:
-        """Keep a request that comes while the node learns its configuration and the servers.
+        """Hold a request until the node has its configuration and the server list.
 
-        After a restart of all hosts that takes a second, and a caller that is refused meanwhile has
-        no further try left when the node is ready. Later than that nothing is known of when the
-        node will be ready, and the caller does better at another host.
+        After a restart of all hosts this takes a second, and a caller that is refused meanwhile has
+        no attempt left when the node is ready. After ``STARTUP_WINDOW`` it is unknown when the node
+        will be ready, so requests no longer wait and callers can try another host.
         """
-        if self._state.is_started or arrived - self._began > START_SPAN:
+        if self._state.is_started or arrived - self._accepting_since > STARTUP_WINDOW:
             return
-        if self._waiting >= MAX_WAITING:
+        if self._startup_waiters >= MAX_STARTUP_WAITERS:
             return
-        left = START_SPAN if req.time_left is None else req.time_left
-        self._waiting += 1
+        remaining = STARTUP_WINDOW if req.time_left is None else req.time_left
+        self._startup_waiters += 1
         try:
-            with trio.move_on_after(min(START_SPAN, left * START_SHARE) / SECOND):
+            with trio.move_on_after(
+                min(STARTUP_WINDOW, remaining * STARTUP_WAIT_FRACTION) / SECOND
+            ):
                 await self._state.started.wait()
         finally:
-            self._waiting -= 1
+            self._startup_waiters -= 1
 
     def _upstreams(self, route: Route) -> tuple[str, ...]:
         match route.destination:
             case OneUpstream(upstream):
                 return (upstream,)
             case SplitUpstreams():
-                counter = self._splits.setdefault(route.name, WeightedRoundRobin())
-                return (counter.pick(route.destination),)
+                picker = self._upstream_pickers.setdefault(route.name, WeightedRoundRobin())
+                return (picker.pick(route.destination),)
             case AllShards(shards):
                 return shards
 
-    def _times(self, route: Route, req: CallerRequest, now: Millis) -> RunTimes:
-        left = route.timeout if req.time_left is None else req.time_left
-        # A caller's second try has less time left than its first one had. What is missing of the
-        # most that any caller of this route had lately has been used up before this try.
-        longest = max(left, self._longest.get(route.name, 0.0))
-        self._longest[route.name] = longest
-        trips = LATER_ROUND_TRIPS if req.http.on_used_connection else FIRST_ROUND_TRIPS
-        away = trips * req.http.round_trip + self._own_time(route).lead_time
-        target = route.target_latency - (longest - left) - away
-        return RunTimes(now, now + target, now + min(left, route.timeout))
+    def _run_times(self, route: Route, req: CallerRequest, now: Millis) -> RunTimes:
+        remaining = route.timeout if req.time_left is None else req.time_left
+        # When the caller resends a request, it has less time left than at first. The difference to
+        # the longest time of any request on this route counts as used before this attempt.
+        max_time_left = max(remaining, self._max_time_left.get(route.name, 0.0))
+        self._max_time_left[route.name] = max_time_left
+        round_trips = (
+            REUSED_CONNECTION_ROUND_TRIPS
+            if req.http.on_used_connection
+            else NEW_CONNECTION_ROUND_TRIPS
+        )
+        transfer_time = round_trips * req.http.round_trip + self._lead_time(route).lead_time
+        target = route.target_latency - (max_time_left - remaining) - transfer_time
+        return RunTimes(now, now + target, now + min(remaining, route.timeout))
 
     def addresses(self, zone: str) -> list[str]:
-        """Return the addresses that a caller of a zone should use, as address and port."""
+        """Return the ``address:port`` of the hosts that a caller in a zone should use."""
         serving = self._state.caller_hosts
-        near = [one for one in serving if one.zone == zone]
-        chosen = near if len(near) >= MIN_ZONE_HOSTS else serving
-        return [one.caller_address for one in chosen[:MAX_ADDRESSES]]
+        same_zone = [host_record for host_record in serving if host_record.zone == zone]
+        chosen = same_zone if len(same_zone) >= MIN_ZONE_HOSTS else serving
+        return [host_record.caller_address for host_record in chosen[:MAX_ADDRESSES]]
 
 
-def _refused(kind: ErrorKind, message: str, retry_after: Millis | None = None) -> AlderhatchError:
+def _error(kind: ErrorKind, message: str, retry_after: Millis | None = None) -> AlderhatchError:
     return AlderhatchError(Failure(kind, message, None, retry_after))
--- a/src/alderhatch/node/dialect.py
+++ b/src/alderhatch/node/dialect.py
@@ -1,4 +1,4 @@
-"""What the node needs of the protocol that callers and servers speak."""
+"""Interface to the HTTP-based protocol of callers and servers."""
 
 from __future__ import annotations
 
@@ -16,57 +16,56 @@
 
 
 class ParsedAnswer(NamedTuple):
-    """What one answer of a server means."""
+    """The meaning of a server's answer."""
 
     fault: AttemptFault | None
-    """None if it is the answer to the request."""
+    """None if the answer is valid."""
     load: LoadReport | None = None
-    """What the server says of its load, if it does."""
+    """The load that the server reports, if any."""
     retry_after: Millis | None = None
 
 
 class CallerRequest(NamedTuple):
-    """What the node needs to know of one request."""
+    """A caller's parsed request."""
 
     http: HttpRequest
     host: str
-    """The host that the caller named, in lower case and without a port."""
+    """The requested host name, in lower case and without a port."""
     request_id: str
-    """Names this one try of the caller."""
+    """Identifies this attempt of the caller."""
     time_left: Millis | None
-    """How long the caller waits, if it says so."""
+    """How long the caller waits; None if it set no limit."""
     forwarded_fields: HeaderFields
-    """The header fields that servers get as the caller sent them."""
+    """Header fields that are forwarded to servers unchanged."""
 
     @property
     def fingerprint(self) -> str:
-        """The hash by which the same request is known when its caller sends it again."""
+        """A hash that is the same when the caller resends the request."""
         http = self.http
         return fingerprint_of_parts(http.method.encode(), http.target.encode(), http.body)
 
 
 class Dialect(Protocol):
-    """Reads and writes the protocol's messages; decides nothing."""
+    """Parses and formats the protocol's messages; makes no decisions."""
 
     def read_request(self, req: HttpRequest) -> CallerRequest:
-        """Take a caller's request apart.
+        """Parse a caller's request.
 
         Raises:
-            AlderhatchError: Naming the field, if it is not a request of the protocol.
+            AlderhatchError: If the request is invalid; names the field.
         """
 
     def server_fields(self, req: CallerRequest, server_id: str, time_left: Millis) -> HeaderFields:
-        """Return the header fields with which a request is sent to a server."""
+        """Return the header fields of a request to a server."""
 
     def read_answer(self, req: CallerRequest, reply: HttpReply) -> ParsedAnswer:
-        """Return what a server's answer means.
+        """Parse a server's answer.
 
-        Only an answer to this very request counts; one that echoes another request's id is a
-        ``WRONG_ANSWER``.
+        An answer that echoes the ID of another request is a ``WRONG_ANSWER``.
         """
 
     def bundle(self, destination: AllShards, replies: Mapping[str, HttpReply]) -> PartsBundle:
-        """Return the answers of some shards, by their names, merged."""
+        """Merge the answers of some shards, given by shard name."""
 
     def response(self, route: Route, outcome: Outcome) -> HttpResponse:
-        """Return the caller's response for an outcome."""
+        """Return the response to the caller for an outcome."""
--- a/src/alderhatch/node/forward_runner.py
+++ b/src/alderhatch/node/forward_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of ``ForwardRun``: connections, exchanges and timers."""
+"""Performs the I/O for ``ForwardRun``: connections, exchanges and timers."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from .node_state import NodeState
 
 CANCEL_GRACE_PERIOD: Millis = 250.0
-"""How long an attempt that lost may still take before its connection is closed.
+"""How long a cancelled attempt may still run before its connection is closed.
 
-A server that only paused ends its answer within this time and the connection can be used again; a
-new one costs the server some milliseconds of a slot.
+A server that only paused finishes its answer within this time, and the connection can be reused. A
+new connection occupies a slot of the server for some milliseconds.
 """
 MIN_TIME_LEFT: Millis = 2.0
-"""With less time left nothing is sent; the server would stop before its answer is out."""
+"""With less time left, nothing is sent: the server would give up before its answer is sent."""
 
 
 class ForwardRunner:
-    """Runs forwarded requests over warm connections.
+    """Runs forwarded requests over pooled connections.
 
     Args:
-        pool: Where connections come from.
-        state: The node's beliefs, told what was seen of servers and requests.
-        dialect: Writes requests and reads answers.
+        pool: The connection pool.
+        state: The node's state; results of attempts are recorded in it.
+        dialect: Formats requests and parses answers.
     """
 
     def __init__(self, pool: ConnectionPool, state: NodeState, dialect: Dialect) -> None:
@@ -48,161 +48,161 @@
         self._tasks = LoopTasks()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Keep the attempts' tasks until cancelled."""
+        """Host the tasks of the attempts until cancelled."""
         await self._tasks.run(task_status)
 
     async def forward(self, req: CallerRequest, run: ForwardRun) -> Outcome:
-        """Run one request to its outcome; if cancelled, its work at servers is cancelled too."""
-        flight = _Flight(self, req, run)
+        """Run a request to its outcome; cancellation also cancels its attempts at servers."""
+        active = _ActiveRequest(self, req, run)
         try:
-            return await flight.fly()
+            return await active.run_to_end()
         except trio.Cancelled:
-            flight.abandon()
+            active.cancel_attempts()
             raise
 
     async def collect(self, req: CallerRequest, run: ForwardRun) -> None:
-        """Run one share of a gather until no part can come any more.
+        """Run one share of a gather until no further part can arrive.
 
-        If cancelled, what is out at servers may still end within the grace of attempts that lost:
-        the connections of a gather that has all it needs would be closed in mid-answer otherwise.
+        After cancellation, attempts in flight may still end within ``CANCEL_GRACE_PERIOD``.
+        Otherwise the connections of a gather that has all it needs would be closed mid-answer.
         """
-        # A share may be dropped before its task has begun; begun all the same, it would send all of
-        # its requests before it notices, at servers that others have asked already.
+        # A share may be cancelled before its task starts. Without this checkpoint it would send all
+        # of its requests before it notices, to servers that other hosts have already queried.
         await trio.lowlevel.checkpoint_if_cancelled()
-        flight = _Flight(self, req, run)
+        active = _ActiveRequest(self, req, run)
         try:
-            await flight.fly()
+            await active.run_to_end()
         except trio.Cancelled:
-            flight.let_go()
+            active.stop_sending()
             raise
 
-    def begin(self, flight: _Flight, send: Send) -> trio.CancelScope:
-        """Start one attempt in a task of its own."""
+    def start_attempt(self, active: _ActiveRequest, send: Send) -> trio.CancelScope:
+        """Start an attempt in its own task and return the scope that cancels it."""
         scope = trio.CancelScope()
-        self._tasks.start(self._attempt, flight, send, scope)
+        self._tasks.start(self._attempt, active, send, scope)
         return scope
 
-    async def _attempt(self, flight: _Flight, send: Send, scope: trio.CancelScope) -> None:
+    async def _attempt(self, active: _ActiveRequest, send: Send, scope: trio.CancelScope) -> None:
         reply: HttpReply | None = None
-        reading = ParsedAnswer(AttemptFault.SILENT)
+        parsed = ParsedAnswer(AttemptFault.SILENT)
         with scope:
             try:
-                reply, reading = await self._exchange(flight, send)
+                reply, parsed = await self._exchange(active, send)
             except HttpExchangeError as exc:
-                reading = ParsedAnswer(FAULTS[exc.fault])
+                parsed = ParsedAnswer(FAULTS[exc.fault])
         now = self._clock.now()
         sent_at = self._table.record_end(send.target, send.attempt)
         if scope.cancelled_caught:
             if sent_at is not None:
                 self._table.record_abandoned(send.target, sent_at, now)
             return
-        self._state.saw_attempt(flight.fingerprint, send.target, reading.fault, now)
-        if reading.fault is not None:
-            self._table.record_failure(send.target, reading.fault, reading.retry_after, now)
+        self._state.saw_attempt(active.fingerprint, send.target, parsed.fault, now)
+        if parsed.fault is not None:
+            self._table.record_failure(send.target, parsed.fault, parsed.retry_after, now)
         elif sent_at is not None:
-            self._table.record_answer(send.target, now - sent_at, reading.load, now)
-        flight.ended(send.attempt, reading, reply, now)
+            self._table.record_answer(send.target, now - sent_at, parsed.load, now)
+        active.on_attempt_end(send.attempt, parsed, reply, now)
 
-    async def _exchange(self, flight: _Flight, send: Send) -> tuple[HttpReply, ParsedAnswer]:
+    async def _exchange(self, active: _ActiveRequest, send: Send) -> tuple[HttpReply, ParsedAnswer]:
         server_id = send.target.server_id
         conn = self._pool.take_idle(server_id)
         if conn is None:
             conn = await self._pool.take(server_id)
         try:
             if EVACUATED_SOURCE in send.target.leaving:
-                # The order may have come while this waited for its connection.
-                raise HttpExchangeError("its zone is evacuated", ExchangeFault.NOT_SENT)
-            return await self._exchange_on(conn, flight, server_id)
+                # The evacuation may have started while the attempt waited for a connection.
+                raise HttpExchangeError("the server's zone is evacuated", ExchangeFault.NOT_SENT)
+            return await self._exchange_on(conn, active, server_id)
         finally:
             self._pool.give_back(server_id, conn)
 
     async def _exchange_on(
-        self, conn: HttpConnection, flight: _Flight, server_id: str
+        self, conn: HttpConnection, active: _ActiveRequest, server_id: str
     ) -> tuple[HttpReply, ParsedAnswer]:
-        left = flight.run.times.deadline - self._clock.now()
-        if left < MIN_TIME_LEFT:
+        time_left = active.run.times.deadline - self._clock.now()
+        if time_left < MIN_TIME_LEFT:
             raise HttpExchangeError("no time is left", ExchangeFault.NOT_SENT)
-        req = flight.req
-        fields = self._dialect.server_fields(req, server_id, left)
-        read = self._dialect.read_answer
+        req = active.req
+        fields = self._dialect.server_fields(req, server_id, time_left)
+        parse = self._dialect.read_answer
         reply = await conn.forward(
             req.http.method,
             req.http.target,
             fields,
             req.http.body,
-            lambda one: read(req, one).fault is not AttemptFault.WRONG_ANSWER,
+            lambda answer: parse(req, answer).fault is not AttemptFault.WRONG_ANSWER,
         )
-        reading = read(req, reply)
-        if reading.fault is AttemptFault.WRONG_ANSWER:
-            # Whatever crossed the answers may do so again: the next answer on this connection may
-            # be the one that this request waited for.
+        parsed = parse(req, reply)
+        if parsed.fault is AttemptFault.WRONG_ANSWER:
+            # The answers on this connection are mismatched. The next one may belong to this
+            # request, so the connection is not reused.
             conn.usable = False
-        return reply, reading
+        return reply, parsed
 
 
-class _Flight:
-    """One request under way: its run, its attempts and whoever waits for the outcome."""
+class _ActiveRequest:
+    """A request in progress: its run, its attempts and its outcome."""
 
     def __init__(self, runner: ForwardRunner, req: CallerRequest, run: ForwardRun) -> None:
         self.req = req
         self.run = run
         self.fingerprint = req.fingerprint
-        """Worked out once: a request over all shards has a score of attempts."""
+        """Computed once, as a request over all shards has many attempts."""
         self._runner = runner
         self._clock = LoopClock()
         self._scopes: dict[int, trio.CancelScope] = {}
         self._outcome: Outcome | None = None
         self._changed = trio.Event()
-        self._wakes_at: Millis = 0.0
+        self._wake_at: Millis = 0.0
 
-    async def fly(self) -> Outcome:
-        """Run until there is an outcome."""
-        self._carry_out(self.run.start(self._clock.now()))
+    async def run_to_end(self) -> Outcome:
+        """Run until the request has an outcome."""
+        self._apply(self.run.start(self._clock.now()))
         while self._outcome is None:
             self._changed = trio.Event()
-            self._wakes_at = self.run.next_wake
-            with trio.move_on_at(self._wakes_at / SECOND):
+            self._wake_at = self.run.next_wake
+            with trio.move_on_at(self._wake_at / SECOND):
                 await self._changed.wait()
             if self._outcome is None and self._clock.now() >= self.run.next_wake:
-                self._carry_out(self.run.on_timer(self._clock.now()))
+                self._apply(self.run.on_timer(self._clock.now()))
         return self._outcome
 
-    def abandon(self) -> None:
-        """Cancel all attempts at once: nobody waits for the answer any more."""
+    def cancel_attempts(self) -> None:
+        """Cancel all attempts immediately, as nobody waits for the answer."""
         self.run.finished = True
         for scope in self._scopes.values():
             scope.cancel()
 
-    def let_go(self) -> None:
-        """Ask nobody else; what is out may end within its grace."""
-        self._carry_out(self.run.stop())
+    def stop_sending(self) -> None:
+        """Send nothing more; attempts in flight may end within ``CANCEL_GRACE_PERIOD``."""
+        self._apply(self.run.stop())
 
-    def ended(
-        self, attempt: int, reading: ParsedAnswer, reply: HttpReply | None, now: Millis
+    def on_attempt_end(
+        self, attempt: int, parsed: ParsedAnswer, reply: HttpReply | None, now: Millis
     ) -> None:
-        """Take what became of an attempt."""
+        """Handle the result of an attempt."""
         self._scopes.pop(attempt, None)
         if self.run.finished:
-            if reading.fault is None:
-                # A server that was late is counted too, or the latencies would look too short.
+            if parsed.fault is None:
+                # Late answers count as well, or the recorded latencies would be too low.
                 self.run.on_answer(attempt, reply, now)
             return
-        if reading.fault is None:
-            self._carry_out(self.run.on_answer(attempt, reply, now))
+        if parsed.fault is None:
+            self._apply(self.run.on_answer(attempt, reply, now))
         else:
-            # Only a server's own word that it failed is worth passing on; whatever else came is
-            # no answer to this request.
-            failure = reply if reading.fault is AttemptFault.FAILED else None
-            self._carry_out(self.run.on_fault(attempt, reading.fault, failure, now))
-        # Woken for each of a hundred parts, the flight would cost as much as the parts.
-        if self._outcome is not None or self.run.next_wake < self._wakes_at:
+            # Only an error that the server itself reports is forwarded to the caller. After any
+            # other fault, the reply is no answer to this request.
+            failure = reply if parsed.fault is AttemptFault.FAILED else None
+            self._apply(self.run.on_fault(attempt, parsed.fault, failure, now))
+        # Waking the waiting task for each of a hundred parts would cost as much as the parts.
+        if self._outcome is not None or self.run.next_wake < self._wake_at:
             self._changed.set()
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _apply(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case Send(attempt):
-                    self._scopes[attempt] = self._runner.begin(self, effect)
+                    self._scopes[attempt] = self._runner.start_attempt(self, effect)
                 case Cancel(attempt):
                     with suppress(KeyError):
                         self._scopes[attempt].deadline = (
--- a/src/alderhatch/node/gather_messages.py
+++ b/src/alderhatch/node/gather_messages.py
@@ -1,4 +1,4 @@
-"""What hosts that ask for the shards of one gather together say to each other."""
+"""Messages between hosts that split a gather."""
 
 from __future__ import annotations
 
@@ -14,92 +14,92 @@
 
 
 class PartsRequest(NamedTuple):
-    """The shards of a caller's gather that the other host is to ask for."""
+    """Requests a share of a caller's gather: the shards that the receiver is to query."""
 
     number: int
-    """Names it on this link; never used again there."""
+    """Identifies the request on its link; never reused there."""
     method: str
     target: str
     fields: list[Field]
     body: bytes
     time_left: Millis
-    """How long the caller waits from now on."""
+    """How long the caller still waits."""
     due_in: Millis
-    """When the answer should leave, from now on; may be negative for one that is late."""
+    """Time until the answer to the caller is due; negative if it is overdue."""
     shards: list[str]
 
 
 class PartsNews(NamedTuple):
-    """Parts that have come since the last such message; none as a sign of life."""
+    """Parts that arrived since the last message; without parts, it only shows liveness."""
 
     number: int
     shards: list[int]
-    """The places of the shards in the request."""
+    """Positions of the shards in ``PartsRequest.shards``."""
     signatures: list[bytes]
     records: bytes
     """The greatest records of these parts."""
     spent: list[int]
-    """The places of all shards that no other host may ask for any more."""
+    """Positions of all shards that no other host may query any more."""
 
 
 class PartsEnd(NamedTuple):
-    """No more parts will come."""
+    """Ends a share: no more parts will be sent."""
 
     number: int
 
 
 GATHER_MESSAGE_TYPES: tuple[type[Any], ...] = (PartsRequest, PartsNews, PartsEnd)
 Request: TypeAlias = HandedRequest | PartsRequest
-"""What one host asks of another one."""
+"""A request from one host to another."""
 Reply: TypeAlias = HandedAnswer | HandedRefusal | PartsEnd
-"""What ends such a request."""
+"""The final message for a request."""
 
 
-def check_parts_request(req: PartsRequest, known: Iterable[str]) -> None:
-    """Check a request of another host before anything of it is run.
+def check_parts_request(req: PartsRequest, known_shards: Iterable[str]) -> None:
+    """Validate a request of another host before it runs.
 
     Args:
         req: The request.
-        known: The shards of its route here.
+        known_shards: The shards of its route at this host.
 
     Raises:
-        AlderhatchError: Naming the field that is wrong.
+        AlderhatchError: If a field is invalid; names the field.
     """
     if not req.time_left > 0:
-        raise _refused(ErrorKind.DEADLINE_TOO_SHORT, "time_left", "no time is left")
+        raise _error(ErrorKind.DEADLINE_TOO_SHORT, "time_left", "must be greater than 0")
     if isnan(req.due_in):
-        raise _refused(ErrorKind.BAD_REQUEST, "due_in", "not a number")
+        raise _error(ErrorKind.BAD_REQUEST, "due_in", "must be a number, not NaN")
     if not req.shards or len(set(req.shards)) != len(req.shards):
-        raise _refused(ErrorKind.BAD_REQUEST, "shards", "different shards are wanted")
-    unknown = set(req.shards).difference(known)
+        raise _error(ErrorKind.BAD_REQUEST, "shards", "must be non-empty and without duplicates")
+    unknown = set(req.shards).difference(known_shards)
     if unknown:
-        # The two hosts are at different configurations, which passes within a moment.
-        message = f"{len(unknown)} shards are not of this host's route, such as {min(unknown)!r}"
-        raise _refused(ErrorKind.NO_CONFIGURATION, "shards", message)
+        # The two hosts have different configuration versions, which lasts only a moment.
+        message = f"{len(unknown)} shards are not in this host's route, such as {min(unknown)!r}"
+        raise _error(ErrorKind.NO_CONFIGURATION, "shards", message)
 
 
-def to_parts_bundle(news: PartsNews, shards: tuple[str, ...], most_records: int) -> PartsBundle:
-    """Return the parts that another host says it has.
+def to_parts_bundle(update: PartsNews, shards: tuple[str, ...], max_records: int) -> PartsBundle:
+    """Return the parts of another host's message.
 
     Args:
-        news: Its message.
-        shards: Those that it was asked for.
-        most_records: How many records the route wants.
+        update: The message.
+        shards: The shards that the host was asked to query.
+        max_records: The number of records that the route returns.
 
     Raises:
-        ValueError: Naming the field, if the message doesn't fit the request.
+        ValueError: If the message does not match the request; names the field.
     """
-    for field, places in (("shards", news.shards), ("spent", news.spent)):
-        if not all(0 <= place < len(shards) for place in places):
-            raise ValueError(f"{field}: a place that was not in the request")
-    if len(news.signatures) != len(news.shards) or not all(news.signatures):
-        raise ValueError("signatures: one for each shard is wanted")
-    if len(news.records) > most_records * RECORD_BYTES or len(news.records) % RECORD_BYTES:
-        raise ValueError(f"records: {len(news.records)} bytes")
-    names = tuple(shards[place] for place in news.shards)
-    spent = tuple(shards[place] for place in news.spent)
-    return PartsBundle(names, tuple(news.signatures), news.records, spent)
-
-
-def _refused(kind: ErrorKind, field: str, message: str) -> AlderhatchError:
+    for field, positions in (("shards", update.shards), ("spent", update.spent)):
+        if not all(0 <= position < len(shards) for position in positions):
+            raise ValueError(f"{field}: position outside the shards of the request")
+    if len(update.signatures) != len(update.shards) or not all(update.signatures):
+        raise ValueError("signatures: expected one non-empty signature for each shard")
+    if len(update.records) > max_records * RECORD_BYTES or len(update.records) % RECORD_BYTES:
+        raise ValueError(f"records: unexpected length of {len(update.records)} bytes")
+    names = tuple(shards[position] for position in update.shards)
+    spent = tuple(shards[position] for position in update.spent)
+    return PartsBundle(names, tuple(update.signatures), update.records, spent)
+
+
+def _error(kind: ErrorKind, field: str, message: str) -> AlderhatchError:
     return AlderhatchError(Failure(kind, f"{field}: {message}", field))
--- a/src/alderhatch/node/gather_server.py
+++ b/src/alderhatch/node/gather_server.py
@@ -1,4 +1,4 @@
-"""Asks servers for other hosts' shares of gathers."""
+"""Answers other hosts' requests for shares of gathers."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from .request_log import RequestEnd, RequestLog
 from .split_gather import agreed_servers
 
-Say = Callable[[PartsNews], None]
+SendParts = Callable[[PartsNews], None]
 
 
 class GatherServer:
-    """Answers requests for parts.
+    """Queries servers for a share of another host's gather.
 
     Args:
-        state: The node's beliefs.
-        collector: Asks the servers.
-        dialect: Reads requests.
-        metrics: Counts what is sent.
-        log: Writes a line about those that have one.
+        state: The node's state.
+        collector: Queries the servers.
+        dialect: Parses requests.
+        metrics: Counts requests to servers.
+        log: Logs shares.
     """
 
     def __init__(
@@ -50,52 +50,67 @@
         self._log = log
         self._clock = LoopClock()
 
-    async def answer(self, asked: PartsRequest, say: Say) -> PartsEnd:
-        """Ask for the parts of a request, and say what comes in.
+    async def answer(self, parts_req: PartsRequest, send_parts: SendParts) -> PartsEnd:
+        """Query the shards of a share and send the parts as they arrive.
+
+        Args:
+            parts_req: The other host's request.
+            send_parts: Sends a message with parts to that host.
 
         Raises:
-            AlderhatchError: If it is not even begun.
+            AlderhatchError: If the request is refused before it runs.
         """
         arrived = self._clock.now()
-        http = to_http(asked.method, asked.target, asked.fields, asked.body)
-        run = self._begin(asked, http, arrived)
-        req = self._dialect.read_request(http)._replace(time_left=asked.time_left)
-        places = {shard: place for place, shard in enumerate(asked.shards)}
+        http = to_http(parts_req.method, parts_req.target, parts_req.fields, parts_req.body)
+        run = self._create_run(parts_req, http, arrived)
+        req = self._dialect.read_request(http)._replace(time_left=parts_req.time_left)
+        positions = {shard: position for position, shard in enumerate(parts_req.shards)}
 
-        def take(bundle: PartsBundle) -> None:
-            here = [places[shard] for shard in bundle.shards]
-            spent = [places[shard] for shard in bundle.spent]
-            say(PartsNews(asked.number, here, list(bundle.signatures), bundle.records, spent))
+        def on_parts(bundle: PartsBundle) -> None:
+            received = [positions[shard] for shard in bundle.shards]
+            spent = [positions[shard] for shard in bundle.spent]
+            send_parts(
+                PartsNews(
+                    parts_req.number, received, list(bundle.signatures), bundle.records, spent
+                )
+            )
 
         try:
-            await self._collector.collect(req, run, self._words(asked, arrived), take)
+            await self._collector.collect(
+                req, run, self._report_times(parts_req, arrived), on_parts
+            )
         finally:
-            self._metrics.count_steps(run)
-            self._log.share_ended(req, run, self._end(run, arrived))
-        return PartsEnd(asked.number)
+            self._metrics.count_decisions(run)
+            self._log.log_share_end(req, run, self._request_end(run, arrived))
+        return PartsEnd(parts_req.number)
 
-    def _begin(self, asked: PartsRequest, http: HttpRequest, arrived: Millis) -> ForwardRun:
+    def _create_run(
+        self, parts_req: PartsRequest, http: HttpRequest, arrived: Millis
+    ) -> ForwardRun:
         if self._state.hands_over:
-            message = "this host stands by and asks no servers"
+            message = "this host is a standby host and queries no servers"
             raise AlderhatchError(Failure(ErrorKind.NOT_SERVING, message))
         req = self._dialect.read_request(http)
         route = self._state.routes.find(req.host, http.path)
         if route is None or not isinstance(route.destination, AllShards):
-            message = f"target: no gather for host {req.host!r} and path {http.path!r}"
+            message = f"target: no gather route for host {req.host!r} and path {http.path!r}"
             raise AlderhatchError(Failure(ErrorKind.NO_CONFIGURATION, message, "target"))
-        check_parts_request(asked, route.destination.shards)
-        servers = agreed_servers(self._state, route, asked.shards, self._state.zone)
-        rules = ShareRules(servers, False, arrived + asked.due_in - HOP_LATENCY)
-        deadline = arrived + min(asked.time_left, route.timeout)
-        # Which parts are left out is for the first host to decide, which sees all of them.
+        check_parts_request(parts_req, route.destination.shards)
+        servers = agreed_servers(self._state, route, parts_req.shards, self._state.zone)
+        rules = ShareRules(servers, False, arrived + parts_req.due_in - HOP_LATENCY)
+        deadline = arrived + min(parts_req.time_left, route.timeout)
+        # The host that splits the gather sees all parts and decides which ones to omit.
         times = RunTimes(arrived, deadline, deadline)
-        return ForwardRun(route, tuple(asked.shards), times, self._state.table, rules)
+        return ForwardRun(route, tuple(parts_req.shards), times, self._state.table, rules)
 
-    def _words(self, asked: PartsRequest, arrived: Millis) -> tuple[Millis, ...]:
-        due = max(0.0, asked.due_in)
-        return (arrived + FIRST_REPORT_FRACTION * due, arrived + max(0.0, due - HOP_LATENCY))
+    def _report_times(self, parts_req: PartsRequest, arrived: Millis) -> tuple[Millis, ...]:
+        until_due = max(0.0, parts_req.due_in)
+        return (
+            arrived + FIRST_REPORT_FRACTION * until_due,
+            arrived + max(0.0, until_due - HOP_LATENCY),
+        )
 
-    def _end(self, run: ForwardRun, arrived: Millis) -> RequestEnd:
-        parts_in = sum(shard.part is not None for shard in run.shards.values())
-        outcome = "complete" if parts_in == len(run.shards) else "partial"
-        return RequestEnd(outcome, parts_in / len(run.shards), self._clock.now() - arrived)
+    def _request_end(self, run: ForwardRun, arrived: Millis) -> RequestEnd:
+        answered = sum(shard.part is not None for shard in run.shards.values())
+        outcome = "complete" if answered == len(run.shards) else "partial"
+        return RequestEnd(outcome, answered / len(run.shards), self._clock.now() - arrived)
--- a/src/alderhatch/node/hand_over_client.py
+++ b/src/alderhatch/node/hand_over_client.py
@@ -1,4 +1,4 @@
-"""Hands requests of callers over to a host that serves them."""
+"""Hands callers' requests over to active hosts and requests shares of gathers from hosts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..http.messages import HttpRequest, HttpResponse
 from ..loop_tasks import LoopTasks
 from .gather_messages import PartsEnd, PartsRequest
-from .hand_over_link import HandOverLink, HandOverLostError, TakeNews
+from .hand_over_link import HandOverLink, HandOverLostError, PartsNewsHandler
 from .hand_over_messages import (
     MAX_HANDED_BYTES,
     HandedAnswer,
@@ -26,28 +26,29 @@
 )
 from .node_state import NodeState
 
-READY_EVERY: Millis = 500.0
+OWNER_LINK_INTERVAL: Millis = 500.0
 
 
-class Handed(NamedTuple):
-    """A request that another host answered."""
+class HandedResponse(NamedTuple):
+    """Another host's response to a request that was handed over."""
 
     host: str
-    """The name of that host."""
+    """The name of the host that answered."""
     response: HttpResponse
 
 
 class HandOverClient:
-    """Keeps links to hosts that serve callers while there are requests for them.
+    """Sends requests to other hosts over links that are opened on demand.
 
-    To ask servers itself, a host that stands by would need a connection to each of them for the few
-    requests that come to it, and the list of all servers. With hundreds of hosts that is many times
-    what servers accept, and every change of the list would be sent hundreds of times.
+    To query servers itself, a standby host would need the list of all servers and a connection to
+    each of them for the few requests that it receives. With hundreds of hosts that is many times
+    the connections that servers accept, and every change of the list would be sent hundreds of
+    times.
 
     Args:
-        state: Knows who serves, and the newest configuration.
-        codec: The tier's messages.
-        secret: The secret that the hosts share.
+        state: The node's state: the active hosts and the newest configuration version.
+        codec: Encodes the messages between hosts.
+        secret: The shared secret of the hosts.
         rng: Spreads the requests over hosts.
     """
 
@@ -61,19 +62,19 @@
         self._links: dict[str, HandOverLink] = {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Keep the links until cancelled."""
+        """Run the links until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self._tasks.run)
-            nursery.start_soon(self._keep_ready)
+            nursery.start_soon(self._keep_owner_links)
             task_status.started()
 
-    async def _keep_ready(self) -> None:
-        """Hold links to the hosts that own shards while callers are sent to this one.
+    async def _keep_owner_links(self) -> None:
+        """Keep links to the hosts that own shards open while this host is active.
 
-        Opened with the first gather that is split, they would make it late.
+        If they were opened only with the first split gather, its answer would be late.
         """
         while True:
-            await trio.sleep(READY_EVERY / SECOND)
+            await trio.sleep(OWNER_LINK_INTERVAL / SECOND)
             state = self._state
             if not any(host.name == state.name for host in state.caller_hosts):
                 continue
@@ -82,50 +83,52 @@
             now = self._clock.now()
             for host in state.owners.hosts.values():
                 if host.name != state.name and self.is_available(host.name, now):
-                    self._link_to(host).keep()
+                    self._link_to(host).keep_open()
 
     def is_available(self, name: str, now: Millis) -> bool:
-        """Return whether a host is not passed over just now."""
+        """Return whether a host is not avoided at the moment."""
         return not self._targets.is_avoided(name, now)
 
-    def avoid(self, name: str, now: Millis, span: Millis = AVOID_DURATION) -> None:
-        """Pass a host over for a while."""
-        self._targets.avoid(name, now, span)
+    def avoid(self, name: str, now: Millis, duration: Millis = AVOID_DURATION) -> None:
+        """Avoid a host for a while."""
+        self._targets.avoid(name, now, duration)
 
-    async def ask_parts(self, host: HostRecord, req: PartsRequest, take: TakeNews) -> PartsEnd:
-        """Have a host ask for a share of a gather.
+    async def request_parts(
+        self, host: HostRecord, req: PartsRequest, on_parts: PartsNewsHandler
+    ) -> PartsEnd:
+        """Have another host query its share of a gather.
 
         Args:
-            host: The host.
-            req: What it is asked for.
-            take: Takes the parts as they come; raises ``ValueError`` if they don't fit.
+            host: The other host.
+            req: The request for the share.
+            on_parts: Handles parts as they arrive; raises ``ValueError`` for an invalid message.
 
         Raises:
-            HandOverLostError: If the way to it is gone.
-            ValueError: If what came does not fit.
-            AlderhatchError: If it refused.
+            HandOverLostError: If the link to the host is lost or cannot be opened.
+            ValueError: If a message of the host is invalid.
+            AlderhatchError: If the host refused the request.
         """
-        reply = await self._link_to(host).call(req, take)
+        reply = await self._link_to(host).call(req, on_parts)
         match reply:
             case PartsEnd():
                 return reply
             case HandedAnswer():
-                raise ValueError("an answer to another kind of request")
+                raise ValueError("expected PartsEnd, got HandedAnswer")
             case HandedRefusal():
                 raise AlderhatchError(_failure(reply))
 
-    async def hand_over(self, http: HttpRequest, time_left: Millis | None) -> Handed:
+    async def hand_over(self, http: HttpRequest, time_left: Millis | None) -> HandedResponse:
         """Have another host answer a request.
 
         Args:
             http: The request.
-            time_left: How long its caller waits, if it said so.
+            time_left: How long its caller waits; None if it set no limit.
 
         Raises:
-            AlderhatchError: If no host answers it; its kind says whether it may have run.
+            AlderhatchError: If no host answers the request; the kind says whether it may have run.
         """
         if len(http.body) > MAX_HANDED_BYTES:
-            message = f"a host that stands by takes at most {MAX_HANDED_BYTES} bytes"
+            message = f"body exceeds the standby host's limit of {MAX_HANDED_BYTES} bytes"
             raise AlderhatchError(Failure(ErrorKind.TOO_LARGE, message, "body"))
         deadline = inf if time_left is None else self._clock.now() + time_left
         run = HandOverRun(self._targets, lambda: self._state.caller_hosts, deadline)
@@ -133,35 +136,35 @@
             now = self._clock.now()
             host = run.next_host(now)
             try:
-                reply = await self._link_to(host).call(self._message(http, deadline - now))
+                reply = await self._link_to(host).call(self._to_message(http, deadline - now))
             except HandOverLostError as exc:
                 run.lost(host, exc.was_sent, self._clock.now())
                 continue
             if isinstance(reply, HandedAnswer):
                 self._state.saw_version(reply.version)
-                return Handed(host.name, _response(reply))
+                return HandedResponse(host.name, _response(reply))
             if isinstance(reply, PartsEnd):
                 run.lost(host, True, self._clock.now())
                 continue
             run.refused(host, _failure(reply), self._clock.now())
 
-    def _message(self, http: HttpRequest, left: Millis) -> HandedRequest:
+    def _to_message(self, http: HttpRequest, remaining: Millis) -> HandedRequest:
         return HandedRequest(
             0,
             http.method,
             http.target,
             to_fields(http.fields),
             http.body,
-            None if left == inf else left,
+            None if remaining == inf else remaining,
             http.on_used_connection,
             http.round_trip,
             self._state.seen_version,
         )
 
     def _link_to(self, host: HostRecord) -> HandOverLink:
-        known = self._links.get(host.name)
-        if known is not None and known.is_open and known.leads_to(host):
-            return known
+        existing = self._links.get(host.name)
+        if existing is not None and existing.is_open and existing.connects_to(host):
+            return existing
         link = HandOverLink(host, self._codec, self._secret, self._state.name)
         self._links[host.name] = link
         self._tasks.start(link.run)
@@ -173,5 +176,5 @@
 
 
 def _response(answer: HandedAnswer) -> HttpResponse:
-    fields = [(one.name, one.value) for one in answer.fields]
+    fields = [(header.name, header.value) for header in answer.fields]
     return HttpResponse(answer.status, answer.body, answer.content_type, (), fields)
--- a/src/alderhatch/node/hand_over_link.py
+++ b/src/alderhatch/node/hand_over_link.py
@@ -1,4 +1,4 @@
-"""One link from a host that stands by to one that serves callers, and the requests on it."""
+"""A link from one host to another that carries handed over requests and shares of gathers."""
 
 from __future__ import annotations
 
@@ -23,101 +23,105 @@
     HandedRefusal,
 )
 
-TakeNews: TypeAlias = Callable[[PartsNews], None]
+PartsNewsHandler: TypeAlias = Callable[[PartsNews], None]
 OPEN_TIMEOUT: Millis = 500.0
-SILENCE: Millis = 1000.0
-"""How long a host with requests of ours may say nothing; five of its signs of life fit in."""
-IDLE_FOR: Millis = 20 * SECOND
-"""How long a link is kept without a request."""
-WATCH_EVERY: Millis = 100.0
+SILENCE_TIMEOUT: Millis = 1000.0
+"""How long the other host may be silent while it has requests: five times ``ALIVE_INTERVAL``."""
+IDLE_TIMEOUT: Millis = 20 * SECOND
+"""How long a link without requests stays open."""
+WATCH_INTERVAL: Millis = 100.0
 
 
 class HandOverLostError(Exception):
-    """There is no answer, as the link is gone or could not be opened."""
+    """The link was lost or could not be opened, so there is no answer."""
 
     def __init__(self, was_sent: bool) -> None:
-        super().__init__("the link is gone")
+        super().__init__("link to the other host lost")
         self.was_sent = was_sent
         """Whether the request may have reached the other host."""
 
 
 class _Call:
-    """One request on its way."""
+    """A request that waits for its reply."""
 
-    __slots__ = ("_take", "done", "error", "reply", "was_sent")
+    __slots__ = ("_on_parts", "done", "error", "reply", "was_sent")
 
-    def __init__(self, take: TakeNews | None) -> None:
+    def __init__(self, on_parts: PartsNewsHandler | None) -> None:
         self.done = trio.Event()
         self.reply: Reply | None = None
         self.error: ValueError | None = None
-        """What is wrong with what came, if anything."""
+        """Why a message for this request was invalid, if one was."""
         self.was_sent = False
-        self._take = take
+        self._on_parts = on_parts
 
-    def took(self, message: Reply | PartsNews) -> None:
-        """Take what the other host said of the request."""
+    def on_message(self, message: Reply | PartsNews) -> None:
+        """Handle a message of the other host about the request."""
         if not isinstance(message, PartsNews):
             self.reply = message
             self.done.set()
             return
         try:
-            if self._take is None:
-                raise ValueError("parts of a request that asked for none")
-            self._take(message)
+            if self._on_parts is None:
+                raise ValueError("unexpected PartsNews: the request was for no parts")
+            self._on_parts(message)
         except ValueError as exc:
             self.error = exc
             self.done.set()
 
 
 class HandOverLink:
-    """Carries any number of requests at the same time.
+    """Carries up to ``MAX_IN_FLIGHT`` requests at the same time.
 
     Args:
-        host: The host that serves.
-        codec: The tier's messages.
-        secret: The secret that the hosts share.
-        me: This host's name.
+        host: The host at the other end.
+        codec: Encodes the messages between hosts.
+        secret: The shared secret of the hosts.
+        local_name: This host's name.
     """
 
-    def __init__(self, host: HostRecord, codec: Codec, secret: bytes, me: str) -> None:
+    def __init__(self, host: HostRecord, codec: Codec, secret: bytes, local_name: str) -> None:
         self.host = host
-        """Who is at the other end."""
+        """The host at the other end."""
         self.is_open = True
-        """Whether requests can be put on it; also true while it is being opened."""
+        """Whether the link accepts requests; also true while it is being opened."""
         self._codec = codec
         self._secret = secret
-        self._me = Peer(me, HAND_OVER_ROLE)
+        self._local_peer = Peer(local_name, HAND_OVER_ROLE)
         self._clock = LoopClock()
-        self._numbers = 0
+        self._last_number = 0
         self._calls: dict[int, _Call] = {}
-        self._queue, self._queued = trio.open_memory_channel[tuple[Any, ...]](2 * MAX_IN_FLIGHT)
-        self._heard_at: Millis = 0.0
-        self._used_at: Millis = 0.0
-
-    def keep(self) -> None:
-        """Keep the link open as if it had just been used."""
-        self._used_at = self._clock.now()
-
-    def leads_to(self, host: HostRecord) -> bool:
-        """Return whether a host is still where this link goes to."""
-        known = self.host
-        return known.caller_address == host.caller_address and known.link_port == host.link_port
+        self._outbox_sender, self._outbox_receiver = trio.open_memory_channel[tuple[Any, ...]](
+            2 * MAX_IN_FLIGHT
+        )
+        self._received_at: Millis = 0.0
+        self._last_used_at: Millis = 0.0
+
+    def keep_open(self) -> None:
+        """Restart the idle timeout as if the link had just been used."""
+        self._last_used_at = self._clock.now()
+
+    def connects_to(self, host: HostRecord) -> bool:
+        """Return whether a host still has the address and port that this link uses."""
+        own_host = self.host
+        return (
+            own_host.caller_address == host.caller_address and own_host.link_port == host.link_port
+        )
 
     async def run(self) -> None:
-        """Keep the link until it is lost or nobody has used it for a while."""
+        """Run the link until it is lost or has been idle for ``IDLE_TIMEOUT``."""
         address = self.host.caller_address.rpartition(":")[0]
-        self._used_at = self._clock.now()
+        self._last_used_at = self._clock.now()
         why = ""
         try:
-            opening = trio.CancelScope(deadline=trio.current_time() + OPEN_TIMEOUT / SECOND)
-            with opening:
+            open_scope = trio.CancelScope(deadline=trio.current_time() + OPEN_TIMEOUT / SECOND)
+            with open_scope:
                 async with open_link(
-                    address, self.host.link_port, self._codec, self._secret, self._me
+                    address, self.host.link_port, self._codec, self._secret, self._local_peer
                 ) as link:
-                    opening.deadline = float("inf")
-                    why = await self._use(link)
-            if opening.cancelled_caught:
-                why = "not opened in time"
+                    open_scope.deadline = float("inf")
+                    why = await self._run_open(link)
+            if open_scope.cancelled_caught:
+                why = "link not opened before the timeout"
         except LinkClosedError as exc:
             why = str(exc)
         finally:
@@ -127,25 +131,27 @@
         if why:
             log_event(LogEvent.HAND_OVER_LINK_LOST, host=self.host.name, why=why)
 
-    async def call(self, req: Request, take: TakeNews | None = None) -> Reply:
-        """Hand a request over and wait for what becomes of it.
+    async def call(self, req: Request, on_parts: PartsNewsHandler | None = None) -> Reply:
+        """Send a request and wait for its reply.
 
         Args:
-            req: The request; its number is chosen here.
-            take: Takes parts that come before the end; raises ``ValueError`` if they don't fit.
+            req: The request; this method sets its number.
+            on_parts: Handles parts that arrive before the reply; raises ``ValueError`` if they do
+                not match the request.
 
         Raises:
-            HandOverLostError: If the link is gone, or has too many requests already.
-            ValueError: If parts came that don't fit the request; it is cancelled at the other host.
+            HandOverLostError: If the link is lost or already has ``MAX_IN_FLIGHT`` requests.
+            ValueError: If parts do not match the request, which is then cancelled at the other
+                host.
         """
         if not self.is_open or len(self._calls) >= MAX_IN_FLIGHT:
             raise HandOverLostError(False)
-        self._numbers += 1
-        number = self._numbers
-        call = self._calls[number] = _Call(take)
-        self._used_at = self._clock.now()
+        self._last_number += 1
+        number = self._last_number
+        call = self._calls[number] = _Call(on_parts)
+        self._last_used_at = self._clock.now()
         try:
-            self._queue.send_nowait(req._replace(number=number))
+            self._outbox_sender.send_nowait(req._replace(number=number))
             await call.done.wait()
         except trio.WouldBlock as exc:
             raise HandOverLostError(False) from exc
@@ -163,41 +169,41 @@
 
     def _cancel(self, number: int) -> None:
         try:
-            self._queue.send_nowait(HandedCancel(number))
+            self._outbox_sender.send_nowait(HandedCancel(number))
         except trio.WouldBlock:
-            # The other end does not read. It notices the end of the link, which is near.
+            # The other end does not read, so the link is about to end, which cancels the request.
             return
 
-    async def _use(self, link: Link) -> str:
-        """Carry requests and answers; return why the link ended, or nothing if it was idle."""
-        self._heard_at = self._clock.now()
+    async def _run_open(self, link: Link) -> str:
+        """Send and receive; return why the link ended, or an empty string if it was idle."""
+        self._received_at = self._clock.now()
         why = ""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send, link, nursery.cancel_scope)
             nursery.start_soon(self._receive, link, nursery.cancel_scope)
             why = await self._watch()
             nursery.cancel_scope.cancel()
-        return why or ("" if self._is_idle() else "closed by the other end")
+        return why or ("" if self._is_idle() else "closed by the other host")
 
     def _is_idle(self) -> bool:
-        return not self._calls and self._clock.now() - self._used_at >= IDLE_FOR
+        return not self._calls and self._clock.now() - self._last_used_at >= IDLE_TIMEOUT
 
     async def _watch(self) -> str:
         watched_at = self._clock.now()
         while not self._is_idle():
-            await trio.sleep(WATCH_EVERY / SECOND)
+            await trio.sleep(WATCH_INTERVAL / SECOND)
             now = self._clock.now()
-            # While this process itself stood still, nobody read what had come.
-            stall = max(0.0, now - watched_at - WATCH_EVERY)
+            # While this process was paused, it read no messages, so the pause is not silence.
+            stall = max(0.0, now - watched_at - WATCH_INTERVAL)
             watched_at = now
-            self._heard_at = now if not self._calls else min(now, self._heard_at + stall)
-            if now - self._heard_at >= SILENCE:
-                return "silent"
+            self._received_at = now if not self._calls else min(now, self._received_at + stall)
+            if now - self._received_at >= SILENCE_TIMEOUT:
+                return "no message from the other host before the timeout"
         return ""
 
     async def _send(self, link: Link, scope: trio.CancelScope) -> None:
         try:
-            async for message in self._queued:
+            async for message in self._outbox_receiver:
                 if isinstance(message, Request):
                     call = self._calls.get(message.number)
                     if call is None:
@@ -211,12 +217,12 @@
         try:
             while True:
                 message = await link.receive()
-                self._heard_at = self._clock.now()
+                self._received_at = self._clock.now()
                 match message:
                     case HandedAnswer() | HandedRefusal() | PartsNews() | PartsEnd():
                         call = self._calls.get(message.number)
                         if call is not None:
-                            call.took(message)
+                            call.on_message(message)
                     case Alive():
                         pass
                     case _:
--- a/src/alderhatch/node/hand_over_messages.py
+++ b/src/alderhatch/node/hand_over_messages.py
@@ -1,4 +1,4 @@
-"""What a host that stands by and a host that serves callers say to each other."""
+"""Messages between a host that hands a request over and the host that answers it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 HAND_OVER_ROLE = "hand_over"
 MAX_HANDED_BYTES = 3 * 1024 * 1024
-"""The largest body that goes over a link; a message has to hold the header fields besides."""
+"""Largest body sent over a link; leaves room in the message for the header fields."""
 MAX_IN_FLIGHT = 256
-"""Requests of one link that are not answered; one more is refused."""
-ALIVE_EVERY: Millis = 200.0
-"""How often a host with requests of another one under way says that it is there."""
+"""Most unanswered requests on one link; further ones are refused."""
+ALIVE_INTERVAL: Millis = 200.0
+"""Interval of ``Alive`` messages from a host that has requests in progress for another host."""
 
 
 class Field(NamedTuple):
@@ -26,31 +26,31 @@
 
 
 class HandedRequest(NamedTuple):
-    """A caller's request, as it came."""
+    """A caller's request as it was received."""
 
     number: int
-    """Names it on this link; never used again there."""
+    """Identifies the request on its link; never reused there."""
     method: str
     target: str
     fields: list[Field]
     body: bytes
     time_left: Millis | None
-    """How long its caller waits from now on, if it said so."""
+    """How long the caller still waits; None if it set no limit."""
     on_used_connection: bool
     round_trip: Millis
-    """How long the way to the caller and back takes."""
+    """Round-trip time to the caller."""
     version: int
-    """The newest configuration that the sender has seen the effect of."""
+    """Newest configuration version in use at the sender or at a host that answered for it."""
 
 
 class HandedCancel(NamedTuple):
-    """Nobody waits for the answer any more."""
+    """Cancels a request: nobody waits for its answer."""
 
     number: int
 
 
 class HandedAnswer(NamedTuple):
-    """The whole response for the caller."""
+    """The complete response for the caller."""
 
     number: int
     status: int
@@ -58,11 +58,11 @@
     fields: list[Field]
     body: bytes
     version: int
-    """The configuration that it was served by."""
+    """Configuration version that served the request."""
 
 
 class HandedRefusal(NamedTuple):
-    """Why there is no response; the table of errors says whether the request ran."""
+    """Why there is no response; ``kind`` determines whether the request may have run."""
 
     number: int
     kind: ErrorKind
@@ -72,7 +72,7 @@
 
 
 class Alive(NamedTuple):
-    """The host has requests of the other one under way."""
+    """Sent while the host has requests in progress for the other host."""
 
 
 HAND_OVER_MESSAGE_TYPES: tuple[type[Any], ...] = (
@@ -85,13 +85,13 @@
 
 
 def to_http(method: str, target: str, fields: list[Field], body: bytes) -> HttpRequest:
-    """Return the request that a message holds."""
+    """Return the HTTP request of a message."""
     path, query = parse_target(target)
-    pairs = [(one.name, one.value) for one in fields]
+    pairs = [(header.name, header.value) for header in fields]
     headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in pairs}
     return HttpRequest(method, path, query, headers, body, target, pairs)
 
 
 def to_fields(fields: HeaderFields) -> list[Field]:
-    """Return header fields as a message carries them."""
+    """Return header fields in the form used in messages."""
     return [Field(name, value) for name, value in fields]
--- a/src/alderhatch/node/hand_over_server.py
+++ b/src/alderhatch/node/hand_over_server.py
@@ -1,4 +1,4 @@
-"""Answers other hosts: requests of callers that they hand over, and shares of their gathers."""
+"""Answers other hosts: handed over requests and shares of their gathers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..log_events import LogEvent
 from .gather_messages import PartsEnd, PartsNews, PartsRequest, Reply, Request
 from .hand_over_messages import (
-    ALIVE_EVERY,
+    ALIVE_INTERVAL,
     MAX_HANDED_BYTES,
     MAX_IN_FLIGHT,
     Alive,
@@ -28,106 +28,108 @@
     to_http,
 )
 
-Answerer: TypeAlias = Callable[[HttpRequest, Millis | None, int], Awaitable[HttpResponse]]
-"""Takes a request, how long its caller waits, and the least version to serve it by."""
+RequestAnswerer: TypeAlias = Callable[[HttpRequest, Millis | None, int], Awaitable[HttpResponse]]
+"""Takes a request, how long its caller waits, and the oldest version that may serve it."""
 PartsAnswerer: TypeAlias = Callable[
     [PartsRequest, Callable[[PartsNews], None]], Awaitable[PartsEnd]
 ]
-"""Takes a request for parts and whom to tell of those that come in."""
+"""Takes a request for parts and the function that sends parts as they arrive."""
 
 
 class HandOverServer:
-    """Serves the links of hosts that stand by.
+    """Serves the links that other hosts open for their requests.
 
     Args:
-        answer: Answers a request as this host's own callers are answered.
-        answer_parts: Asks servers for a share of another host's gather.
-        version: Returns the number of the configuration that this host serves by.
-        serving: Counts the requests under way, so that a stopping node waits for them.
+        answer: Answers a request as if it came from this host's own callers.
+        answer_parts: Queries servers for a share of another host's gather.
+        version: Returns the configuration version that this host serves by.
+        serve_state: Counts the requests in progress, so that a stopping node waits for them.
     """
 
     def __init__(
         self,
-        answer: Answerer,
+        answer: RequestAnswerer,
         answer_parts: PartsAnswerer,
         version: Callable[[], int],
-        serving: ServeState,
+        serve_state: ServeState,
     ) -> None:
         self._answer = answer
         self._answer_parts = answer_parts
         self._version = version
-        self._serving = serving
+        self._serve_state = serve_state
 
     async def serve(self, link: Link) -> None:
-        """Answer one host until its link closes; what runs for it then is cancelled."""
+        """Answer one host until its link closes, then cancel its requests in progress."""
         await _Session(link, self).run()
 
-    async def answer(self, req: Request, say: Callable[[PartsNews], None]) -> Reply:
-        """Answer one request, or ask for the parts that it wants."""
-        self._serving.exchanges += 1
+    async def answer(self, req: Request, send_parts: Callable[[PartsNews], None]) -> Reply:
+        """Answer a handed over request, or query a share and send its parts."""
+        self._serve_state.exchanges += 1
         try:
             if isinstance(req, PartsRequest):
-                return await self._answer_parts(req, say)
-            return await self._answer_whole(req)
+                return await self._answer_parts(req, send_parts)
+            return await self._answer_handed(req)
         except AlderhatchError as exc:
             return _refusal(req, exc.failure)
         except Exception as exc:
             log_event(LogEvent.ENTRY_FAULT, exc=exc, path=req.target)
             return _refusal(req, Failure(ErrorKind.INTERNAL, "a fault in alderhatch"))
         finally:
-            self._serving.exchanges -= 1
+            self._serve_state.exchanges -= 1
 
-    async def _answer_whole(self, req: HandedRequest) -> Reply:
+    async def _answer_handed(self, req: HandedRequest) -> Reply:
         http = to_http(req.method, req.target, req.fields, req.body)
         http = http._replace(on_used_connection=req.on_used_connection, round_trip=req.round_trip)
         res = await self._answer(http, req.time_left, req.version)
         if len(res.body) > MAX_HANDED_BYTES:
-            message = f"the answer has over {MAX_HANDED_BYTES} bytes"
+            message = f"the response body exceeds {MAX_HANDED_BYTES} bytes"
             return _refusal(req, Failure(ErrorKind.UPSTREAM_FAILED, message))
-        texts = [(name.encode("ascii"), value.encode("ascii")) for name, value in res.headers]
-        fields = to_fields([*res.fields, *texts])
+        text_fields = [(name.encode("ascii"), value.encode("ascii")) for name, value in res.headers]
+        fields = to_fields([*res.fields, *text_fields])
         return HandedAnswer(
             req.number, res.status, res.content_type, fields, res.body, self._version()
         )
 
-    def refuse(self, req: Request, running: int) -> HandedRefusal | None:
-        """Return why a request is not begun, or None if it may be."""
-        if self._serving.refusing:
-            return _refusal(req, Failure(ErrorKind.STOPPING, "this host is about to end"))
-        if running >= MAX_IN_FLIGHT:
-            message = f"{running} requests of this link are under way"
+    def refuse(self, req: Request, in_flight: int) -> HandedRefusal | None:
+        """Return the refusal of a request, or None if it may start."""
+        if self._serve_state.refusing:
+            return _refusal(req, Failure(ErrorKind.STOPPING, "this host is stopping"))
+        if in_flight >= MAX_IN_FLIGHT:
+            message = f"{in_flight} requests are already in progress on this link"
             return _refusal(req, Failure(ErrorKind.OVERLOADED, message))
         if req.time_left is not None and req.time_left <= 0:
-            message = "no time is left"
+            message = "time_left: must be greater than 0"
             return _refusal(req, Failure(ErrorKind.DEADLINE_TOO_SHORT, message, "time_left"))
         return None
 
 
 class _Session:
-    """The requests of one link."""
+    """The requests in progress on one link."""
 
     def __init__(self, link: Link, server: HandOverServer) -> None:
         self._link = link
         self._server = server
         self._scopes: dict[int, trio.CancelScope] = {}
-        self._replies, self._replied = trio.open_memory_channel[tuple[Any, ...]](4 * MAX_IN_FLIGHT)
+        self._reply_sender, self._reply_receiver = trio.open_memory_channel[tuple[Any, ...]](
+            4 * MAX_IN_FLIGHT
+        )
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send, nursery.cancel_scope)
-            nursery.start_soon(self._show_life)
+            nursery.start_soon(self._send_alive)
             try:
                 while True:
-                    await self._take(await self._link.receive(), nursery)
+                    await self._handle(await self._link.receive(), nursery)
             except LinkClosedError:
                 nursery.cancel_scope.cancel()
 
-    async def _take(self, message: object, nursery: trio.Nursery) -> None:
+    async def _handle(self, message: object, nursery: trio.Nursery) -> None:
         match message:
             case HandedRequest(number) | PartsRequest(number):
                 refusal = self._server.refuse(message, len(self._scopes))
                 if refusal is not None:
-                    await self._replies.send(refusal)
+                    await self._reply_sender.send(refusal)
                 elif number not in self._scopes:
                     self._scopes[number] = trio.CancelScope()
                     nursery.start_soon(self._run, message)
@@ -135,37 +137,37 @@
                 if number in self._scopes:
                     self._scopes[number].cancel()
             case _:
-                raise LinkClosedError("the other host sent what is no request")
+                raise LinkClosedError("the other host sent a message that is not a request")
 
     async def _run(self, req: Request) -> None:
         try:
             with self._scopes[req.number]:
-                await self._replies.send(await self._server.answer(req, self._say))
+                await self._reply_sender.send(await self._server.answer(req, self._send_parts))
         finally:
             del self._scopes[req.number]
 
-    def _say(self, news: PartsNews) -> None:
+    def _send_parts(self, update: PartsNews) -> None:
         try:
-            self._replies.send_nowait(news)
+            self._reply_sender.send_nowait(update)
         except trio.WouldBlock as exc:
-            # The other host does not read. Held back here, parts would fill the memory; it asks for
-            # them itself once the link is gone.
-            raise LinkClosedError("the other host does not read") from exc
+            # The other host does not read. Buffered here, parts would fill the memory. Once the
+            # link is closed, the other host queries the shards itself.
+            raise LinkClosedError("the other host does not read its messages") from exc
 
     async def _send(self, scope: trio.CancelScope) -> None:
         try:
-            async for message in self._replied:
+            async for message in self._reply_receiver:
                 await self._link.send(message)
         except LinkClosedError:
             scope.cancel()
 
-    async def _show_life(self) -> None:
-        # A server may take longer than the other host waits for a sign of life; without these it
-        # would take a host that waits for servers as one that is gone.
+    async def _send_alive(self) -> None:
+        # A server may take longer than the other host's silence timeout. Without these messages
+        # the other host would take this host for lost while it waits for servers.
         while True:
-            await trio.sleep(ALIVE_EVERY / SECOND)
+            await trio.sleep(ALIVE_INTERVAL / SECOND)
             if self._scopes:
-                await self._replies.send(Alive())
+                await self._reply_sender.send(Alive())
 
 
 def _refusal(req: Request, failure: Failure) -> HandedRefusal:
--- a/src/alderhatch/node/node.py
+++ b/src/alderhatch/node/node.py
@@ -1,4 +1,4 @@
-"""The node's parts put together."""
+"""One host of the tier: creates its components and runs them."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from .node_state import Decoder, NodeState
 from .parts_collector import PartsCollector
 from .request_log import RequestLog
-from .server_list import FRESH_FOR, ServerListReader, ServerListSource
+from .server_list import FRESH_DURATION, ServerListReader, ServerListSource
 from .split_gather import SplitGathers
 from .tier_client import TierClient
 from .tier_messages import (
@@ -60,20 +60,20 @@
 CONTROL_ROLE = "control"
 LINK_MESSAGE_TYPES = (*HAND_OVER_MESSAGE_TYPES, *GATHER_MESSAGE_TYPES)
 PROGRESS_TIMEOUT: Millis = 60 * SECOND
-"""Servers may work for long without a byte; the deadline of each request ends its wait."""
-STOP_SERVING_BEFORE: Millis = 2000.0
-"""How long before its time to stop is over a stopping node ends as soon as it is idle."""
-STOP_MARGIN: Millis = 250.0
-"""How long before that it ends whatever is still under way."""
-WATCH_LEAD_EVERY: Millis = 40.0
-"""A new leader reads the list of servers this much later at most; the look costs a microsecond."""
-TEND_LOG_EVERY: Millis = 1 * SECOND
-BACKLOG = 512
-"""Connections that wait to be accepted; a restart of a tier brings all callers at once."""
+"""Servers may compute for long without sending a byte; each request's deadline ends its wait."""
+IDLE_STOP_MARGIN: Millis = 2000.0
+"""How long before its stop deadline a stopping node may end as soon as it is idle."""
+FORCED_STOP_MARGIN: Millis = 250.0
+"""How long before its stop deadline a node cancels the requests still in progress."""
+LEADERSHIP_POLL_INTERVAL: Millis = 40.0
+"""Upper bound of the delay until a new leader reads the server list; a check takes 1 µs."""
+LOG_FLUSH_INTERVAL: Millis = 1 * SECOND
+LISTEN_BACKLOG = 512
+"""Connections waiting to be accepted; after a restart of the tier all callers connect at once."""
 
 
 class EdgeHandlers(NamedTuple):
-    """What answers on the node's HTTP ports."""
+    """Handlers for the node's HTTP ports."""
 
     callers: Handler
     addresses: Handler
@@ -85,11 +85,11 @@
     """One host of the tier.
 
     Args:
-        cfg: Its settings.
-        dialect: The protocol that callers and servers speak.
-        decode: Reads an operator's configuration.
-        source: Where the list of servers comes from.
-        log_output: Where log lines go, if they are bounded; told when to try again.
+        cfg: The node's settings.
+        dialect: The protocol of callers and servers.
+        decode: Decodes an operator's configuration.
+        source: Source of the server list.
+        log_output: Bounded log output, if used; the node triggers its retries.
     """
 
     def __init__(
@@ -104,9 +104,9 @@
         self._clock = LoopClock()
         self._codec = Codec(*PEER_MESSAGE_TYPES, *TIER_MESSAGE_TYPES, *LINK_MESSAGE_TYPES)
         self._rng = Random()
-        # Servers count the connections of a host that lost power until they time out. With spares
-        # the tier would hold four fifths of what a server accepts, and when all hosts have come
-        # back the new connections would be reset: most queries failed for some 5 s.
+        # Servers count the connections of a host that lost power until they time out. With spare
+        # connections, the tier would hold four fifths of what a server accepts. When all hosts have
+        # come back, new connections would be reset, and most queries would fail for some 5 s.
         self._pool = ConnectionPool(0, PROGRESS_TIMEOUT, spares=False)
         self.state = NodeState(
             cfg.name,
@@ -120,32 +120,32 @@
             cfg.cold,
         )
         self.seeds = cfg.seeds
-        """Where to look for the tier; the settings may name others later."""
-        self._founder: Place | None = None
-        self._leaving = False
-        self._serving = ServeState()
-        self._register = ConfigurationRegister(self._orders_changed)
+        """Addresses at which the tier is looked for; a change of the settings replaces them."""
+        self._bootstrap_host: Place | None = None
+        self._stopping = False
+        self._serve_state = ServeState()
+        self._register = ConfigurationRegister(self._on_directives_changed)
         self.member = self._make_member()
-        """This host's part in the replicated log; None without a disk."""
+        """This host's member of the replicated log; None without a data folder."""
         self._server = TierServer(
             self.member,
             lambda: self._register.directives,
             self._list_is_fresh,
             self._redirect,
-            self._kept,
+            self._kept_news,
             lambda leader: self._client.introduce(leader),
             self.state.choose,
             lambda: self.state.hosts_alive,
             self._codec,
         )
-        self._reader = ServerListReader(source, self.state, self._server, self._rng)
+        self._server_list_reader = ServerListReader(source, self.state, self._server, self._rng)
         self._client = TierClient(
-            self._join, self._report, self._places, self.state, self._codec, cfg.secret
+            self._join, self._report, self._known_places, self.state, self._codec, cfg.secret
         )
         self._runner = ForwardRunner(self._pool, self.state, dialect)
-        self._judge = FoundingJudge()
+        self._bootstrap_coordinator = FoundingJudge()
         self.log_output = log_output
-        """Where log lines go, if they are bounded."""
+        """Bounded log output, if used."""
         self.metrics = NodeMetrics(self)
         self._request_log = RequestLog(self.state)
         self._hand_over_client = HandOverClient(self.state, self._codec, cfg.secret, self._rng)
@@ -163,10 +163,10 @@
             SplitGathers(self.state, collector, self._hand_over_client),
         )
         self._hand_over_server = HandOverServer(
-            self.callers.handle_handed,
+            self.callers.handle_handed_over,
             self._gather_server.answer,
             lambda: self.state.stored.version,
-            self._serving,
+            self._serve_state,
         )
         self.configuration_service = ConfigurationDesk(
             self.member, self._register, cfg.tolerated_hosts, self.metrics.count_change
@@ -181,92 +181,96 @@
             cfg.data_folder,
             cfg.secret,
             self._register,
-            self._role_changed,
+            self._on_role_changed,
             cfg.process_started,
         )
 
-    # Beliefs
+    # State
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
-        return self.state.is_started and not self._leaving
+        """Whether callers may be sent to this host."""
+        return self.state.is_started and not self._stopping
 
     @property
     def leader(self) -> Place | None:
-        """The leader of the replicated log, or who may know it, if this host knows any."""
+        """The leader of the replicated log, or a host that may know it; None if unknown."""
         own = self.member.leader() if self.member is not None else None
         if own is not None or self._client.leader is not None:
             return own or self._client.leader
-        # Who founded the log is worth asking only until there is a first configuration; later it
-        # is a host like any other, and may itself be cut off.
+        # The host that bootstrapped the log is a useful hint only before the first configuration.
+        # Later it is a host like any other and may itself be partitioned.
         is_new = self.state.stored.version == 0
-        return (self._judge.founder or self._founder) if is_new else None
+        return (self._bootstrap_coordinator.founder or self._bootstrap_host) if is_new else None
 
     @property
-    def running(self) -> int:
-        """How many requests are being answered."""
-        return self._serving.exchanges
+    def requests_in_flight(self) -> int:
+        """Number of requests being answered."""
+        return self._serve_state.exchanges
 
     @property
-    def leader_heard_at(self) -> Millis:
-        """When the leader was last heard; 0 if never."""
+    def leader_last_heard_at(self) -> Millis:
+        """When a message of the leader was last received; 0 if never."""
         return self._client.heard_at
 
     def _list_is_fresh(self) -> bool:
-        return self.state.list_age() < FRESH_FOR
+        return self.state.list_age() < FRESH_DURATION
 
-    def _orders_changed(self) -> None:
+    def _on_directives_changed(self) -> None:
         self._server.news.notify()
 
-    def _role_changed(self) -> None:
-        # A voter hears of a new leader at once; left to its search, it would find it by chance.
+    def _on_role_changed(self) -> None:
+        # A voter learns of a new leader immediately. Its own search would find the leader only by
+        # chance.
         leader = self.member.leader() if self.member is not None else None
         if leader is not None and self._client.leader is None:
             self._client.introduce(leader)
         self._server.role_changed.notify()
         self._server.news.notify()
 
-    def _disk(self) -> DiskRecord | None:
+    def _disk_record(self) -> DiskRecord | None:
         return self.member.disk if self.member is not None else None
 
     def _join(self) -> Join:
         cfg = self.cfg
         caller_address = f"{cfg.address}:{cfg.ports.callers}"
         started = self.state.is_started
-        return Join(cfg.place, cfg.zone, caller_address, cfg.processor, self._disk(), started)
+        return Join(
+            cfg.place, cfg.zone, caller_address, cfg.processor, self._disk_record(), started
+        )
 
     def _report(self) -> Report:
         crashes = self.state.take_crashes()
         sends = self.state.table.take_sends()
         version = self.state.stored.version
         wants_servers = self.state.wants_servers
-        return Report(self.ready, version, self._disk(), crashes, sends, wants_servers)
+        return Report(self.ready, version, self._disk_record(), crashes, sends, wants_servers)
 
     def _redirect(self) -> Redirect:
-        return Redirect(self.leader, self._controls())
+        return Redirect(self.leader, self._control_places())
 
-    def _kept(self, name: str) -> KeptNews | None:
+    def _kept_news(self, name: str) -> KeptNews | None:
         state = self.state
         if state.stored.version == 0 or state.view is None:
             return None
-        has_use = self._list_is_fresh() and state.view.needs(name)
-        servers = list(state.records.values()) if has_use else []
+        is_useful = self._list_is_fresh() and state.view.needs(name)
+        servers = list(state.records.values()) if is_useful else []
         news = ConfigurationNews(*state.stored)
         return KeptNews(news, state.view, servers, state.evacuations)
 
-    def _controls(self) -> list[Place]:
+    def _control_places(self) -> list[Place]:
         return self.member.controls() if self.member is not None else self.state.controls
 
-    def _places(self) -> list[Place]:
-        return [*self._controls(), *self.seeds]
+    def _known_places(self) -> list[Place]:
+        return [*self._control_places(), *self.seeds]
 
-    # Life
+    # Lifecycle
 
     async def run(self, handlers: EdgeHandlers) -> None:
-        """Serve until told to stop by a signal."""
-        # Taken only once the ports are open, a signal to stop would end the process under the first
-        # requests that it has read: their callers would see a connection cut without an answer.
+        """Serve until a signal requests a stop."""
+        # Signals are handled before the ports open. Otherwise a stop signal could end the process
+        # while it handles its first requests, whose callers would see their connections closed
+        # without an answer.
         with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
             await self._serve(handlers, signals)
         log_event(LogEvent.NODE_STOPPED, node=self.cfg.name)
@@ -274,9 +278,9 @@
     async def _serve(self, handlers: EdgeHandlers, signals: AsyncIterator[int]) -> None:
         async with trio.open_nursery() as nursery:
             if self.cfg.data_folder is not None:
-                keeper = BeliefKeeper(self.cfg.data_folder, self.state)
-                await keeper.restore()
-                nursery.start_soon(keeper.run)
+                checkpoint_store = BeliefKeeper(self.cfg.data_folder, self.state)
+                await checkpoint_store.restore()
+                nursery.start_soon(checkpoint_store.run)
             await nursery.start(self._pool.run)
             await nursery.start(self._runner.run)
             await nursery.start(self._hand_over_client.run)
@@ -284,19 +288,19 @@
             if self.member is not None:
                 nursery.start_soon(self.member.run)
                 nursery.start_soon(self._server.run)
-                nursery.start_soon(self._watch_lead)
-                nursery.start_soon(self._introduce)
+                nursery.start_soon(self._watch_leadership)
+                nursery.start_soon(self._announce_leader)
                 voters = VoterKeeper(
                     self.member, self._server, self.cfg.tolerated_hosts, self.cfg.catch_up
                 )
                 nursery.start_soon(voters.run)
                 if self.cfg.first_start:
-                    nursery.start_soon(self._bid)
-            nursery.start_soon(self._tend_log)
-            nursery.start_soon(self._reader.run)
+                    nursery.start_soon(self._bootstrap)
+            nursery.start_soon(self._flush_logs)
+            nursery.start_soon(self._server_list_reader.run)
             nursery.start_soon(self._client.run)
             nursery.start_soon(probe_hosts, self.state, lambda: self._client.leader is not None)
-            self.callers.begin()
+            self.callers.start_accepting()
             log_event(LogEvent.NODE_STARTED, node=self.cfg.name, zone=self.cfg.zone)
             gc.collect()
             gc.freeze()
@@ -304,41 +308,51 @@
             await self._drain()
             nursery.cancel_scope.cancel()
 
-    async def _watch_lead(self) -> None:
-        """Tell those who wait for it that this host has begun or ceased to lead.
+    async def _watch_leadership(self) -> None:
+        """Notify the waiting tasks when this host starts or stops leading.
 
-        A new leader is told of its role before it holds the lease. Whoever looked only then would
-        find that it doesn't lead yet, and look again seconds later: until then no host would get
-        the list of servers.
+        A new leader learns of its role before it holds the lease. Tasks that are notified only then
+        would find that it does not lead yet, and check again seconds later. Until then no host
+        would get the server list.
         """
-        led = False
+        was_leading = False
         while True:
-            if self._server.leads != led:
-                led = not led
-                self._role_changed()
-            await trio.sleep(WATCH_LEAD_EVERY / SECOND)
+            if self._server.leads != was_leading:
+                was_leading = not was_leading
+                self._on_role_changed()
+            await trio.sleep(LEADERSHIP_POLL_INTERVAL / SECOND)
 
-    async def _introduce(self) -> None:
+    async def _announce_leader(self) -> None:
         cfg = self.cfg
         await introduce_leader(self._server, cfg.place, lambda: self.seeds, self._codec, cfg.secret)
 
-    async def _bid(self) -> None:
+    async def _bootstrap(self) -> None:
         assert self.member is not None
         cfg = self.cfg
-        self._founder = await bid_for_founding(
-            self.member, cfg.place, self._judge_place, self._judge, self._codec, cfg.secret
+        self._bootstrap_host = await bid_for_founding(
+            self.member,
+            cfg.place,
+            self._bootstrap_coordinator_place,
+            self._bootstrap_coordinator,
+            self._codec,
+            cfg.secret,
         )
 
-    def _judge_place(self) -> Place:
+    def _bootstrap_coordinator_place(self) -> Place:
         return min(self.seeds, key=lambda place: (place.address, place.port))
 
     async def _open_ports(self, nursery: trio.Nursery, handlers: EdgeHandlers) -> None:
         ports = self.cfg.ports
         links = await self._listen(ports.links)
-        me = Peer(self.cfg.name, CONTROL_ROLE)
+        local_peer = Peer(self.cfg.name, CONTROL_ROLE)
         await nursery.start(
             lambda task_status: serve_links(
-                links, self._codec, self.cfg.secret, me, self._on_link, task_status=task_status
+                links,
+                self._codec,
+                self.cfg.secret,
+                local_peer,
+                self._on_link,
+                task_status=task_status,
             )
         )
         for port, handler in (
@@ -352,16 +366,16 @@
         nursery.start_soon(serve_http, listeners, self._metrics_page, METRICS_LIMITS)
         listeners = await self._listen(ports.callers)
         nursery.start_soon(
-            serve_http, listeners, handlers.callers, self._caller_limits, self._serving
+            serve_http, listeners, handlers.callers, self._caller_limits, self._serve_state
         )
 
     async def _metrics_page(self, req: HttpRequest) -> HttpResponse:
         page = self.metrics.page()
         return HttpResponse(200, page.body, page.content_type)
 
-    async def _tend_log(self) -> None:
+    async def _flush_logs(self) -> None:
         while True:
-            await trio.sleep(TEND_LOG_EVERY / SECOND)
+            await trio.sleep(LOG_FLUSH_INTERVAL / SECOND)
             self._request_log.flush()
             if self.log_output is None:
                 continue
@@ -371,7 +385,7 @@
             self.log_output.write_waiting()
 
     async def _listen(self, port: int) -> list[trio.SocketListener]:
-        return await trio.open_tcp_listeners(port, host=self.cfg.address, backlog=BACKLOG)
+        return await trio.open_tcp_listeners(port, host=self.cfg.address, backlog=LISTEN_BACKLOG)
 
     def _caller_limits(self) -> HttpLimits:
         limits = self.state.limits
@@ -392,29 +406,29 @@
             case role if role == HAND_OVER_ROLE:
                 await self._hand_over_server.serve(link)
             case role if role == FOUNDING_ROLE and self.cfg.first_start:
-                await self._judge.serve(link)
+                await self._bootstrap_coordinator.serve(link)
             case role:
                 log_event(LogEvent.LINK_ROLE_REFUSED, peer=link.peer.name, role=role)
 
     async def _drain(self) -> None:
-        """Leave the address answers, serve on while callers hold old ones, then end."""
-        began = self._clock.now()
-        self._leaving = True
-        self._serving.closing = True
+        """Stop advertising this host, serve callers that still have its address, then end."""
+        stop_began = self._clock.now()
+        self._stopping = True
+        self._serve_state.closing = True
         self._client.changed.notify()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._hand_over)
-            await trio.sleep(max(0.0, self.cfg.stop_span - STOP_SERVING_BEFORE) / SECOND)
-            end = began + self.cfg.stop_span - STOP_MARGIN
-            while self._serving.exchanges and self._clock.now() < end:
+            nursery.start_soon(self._transfer_leadership)
+            await trio.sleep(max(0.0, self.cfg.stop_span - IDLE_STOP_MARGIN) / SECOND)
+            end = stop_began + self.cfg.stop_span - FORCED_STOP_MARGIN
+            while self._serve_state.exchanges and self._clock.now() < end:
                 await trio.sleep(0.02)
-            # The tasks run on until all of them are cancelled, and one could read another request
-            # just then: sent to a server and cut off there, its caller would not know whether it
-            # ran. Closed before anything is sent, its caller simply asks another host.
-            self._serving.refusing = True
+            # Until all tasks are cancelled, one could still read another request, send it to a
+            # server and be cancelled there. The caller would not know whether the request ran.
+            # With the connection closed before anything is sent, the caller tries another host.
+            self._serve_state.refusing = True
             nursery.cancel_scope.cancel()
 
-    async def _hand_over(self) -> None:
+    async def _transfer_leadership(self) -> None:
         member = self.member
         if member is None or member.log is None or not member.log.is_leader:
             return
@@ -422,6 +436,6 @@
 
 
 MAX_CALLER_CONNECTIONS = 1500
-"""Under half of the descriptors of a small host; the rest is for servers and links."""
+"""Less than half of a small host's file descriptors; the rest is for servers and links."""
 METRICS_LIMITS = HttpLimits(connections=20, body_bytes=0, idle_timeout=30_000.0)
 OPERATOR_LIMITS = HttpLimits(connections=200, body_bytes=4 * 1024 * 1024, idle_timeout=30_000.0)
--- a/src/alderhatch/node/node_metrics.py
+++ b/src/alderhatch/node/node_metrics.py
@@ -1,4 +1,4 @@
-"""The numbers that a node shows to Prometheus."""
+"""The node's Prometheus metrics."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from .control_member import ControlMember
     from .node import Node
 
-SENDS = (DecisionKind.SEND, DecisionKind.HEDGE, DecisionKind.RETRY)
+SEND_KINDS = (DecisionKind.SEND, DecisionKind.HEDGE, DecisionKind.RETRY)
 
 
 class NodeMetrics:
-    """Counts requests as they end; the rest is read when somebody asks for the page.
+    """Counts requests as they end; other metrics are read when the page is rendered.
 
     Args:
         node: The node.
@@ -30,67 +30,67 @@
         self._node = node
         self._clock = LoopClock()
         self._metrics = Metrics(node.cfg.name)
-        self._metrics.add_source(self._copy)
+        self._metrics.add_source(self._update_gauges)
 
-    def count(self, run: ForwardRun, end: RequestEnd) -> None:
-        """Count a request that found its route."""
+    def count_request(self, run: ForwardRun, end: RequestEnd) -> None:
+        """Count a request that matched a route."""
         metrics = self._metrics
         route = run.route.name
         metrics.inc(Metric.NODE_REQUESTS, route, end.outcome)
         if end.coverage > 0:
-            metrics.observe(Metric.NODE_DURATION, end.span, route)
+            metrics.observe(Metric.NODE_DURATION, end.duration, route)
             if isinstance(run.route.destination, AllShards):
                 metrics.observe(Metric.NODE_COVERAGE, end.coverage, route)
-        self.count_steps(run)
+        self.count_decisions(run)
 
-    def count_steps(self, run: ForwardRun) -> None:
-        """Count what was sent to servers, and what became of it."""
+    def count_decisions(self, run: ForwardRun) -> None:
+        """Count the requests sent to servers, their faults and refusals of the retry budget."""
         metrics = self._metrics
-        for one in run.trace:
-            if one.kind in SENDS:
-                metrics.inc(Metric.NODE_SENDS, one.kind)
-            elif one.kind is DecisionKind.FAULT:
-                metrics.inc(Metric.NODE_FAULTS, one.why)
-            elif one.kind is DecisionKind.NO_BUDGET:
+        for step in run.trace:
+            if step.kind in SEND_KINDS:
+                metrics.inc(Metric.NODE_SENDS, step.kind)
+            elif step.kind is DecisionKind.FAULT:
+                metrics.inc(Metric.NODE_FAULTS, step.why)
+            elif step.kind is DecisionKind.NO_BUDGET:
                 metrics.inc(Metric.NODE_BUDGET_REFUSED)
 
     def count_refused(self, kind: str) -> None:
-        """Count a request that was refused before it had a route."""
+        """Count a request that was refused before it ran."""
         self._metrics.inc(Metric.NODE_REQUESTS, "", kind)
 
     def count_handed_over(self, outcome: str) -> None:
-        """Count a request that another host was to answer."""
+        """Count a request that was handed over to another host."""
         self._metrics.inc(Metric.NODE_HANDED_OVER, outcome)
 
-    def count_change(self, span: Millis) -> None:
-        """Count an operator's change that enough disks hold."""
-        self._metrics.observe(Metric.NODE_CHANGE_DURATION, span)
+    def count_change(self, duration: Millis) -> None:
+        """Record the duration of an operator's change, until it was committed."""
+        self._metrics.observe(Metric.NODE_CHANGE_DURATION, duration)
 
     def page(self) -> MetricsPage:
-        """Return the page in Prometheus' text format."""
+        """Render the metrics in the Prometheus text format."""
         return self._metrics.render()
 
-    def _copy(self) -> None:
+    def _update_gauges(self) -> None:
         node = self._node
         state = node.state
         now = self._clock.now()
         metrics = self._metrics
         for name, count in state.table.count_states(now).items():
             metrics.set(Metric.NODE_SERVERS, count, name)
-        metrics.set(Metric.NODE_RUNNING, node.running)
+        metrics.set(Metric.NODE_RUNNING, node.requests_in_flight)
         metrics.set(Metric.NODE_HOSTS, state.hosts_alive)
         metrics.set(Metric.NODE_CONFIGURATION, state.stored.version)
         if state.listed_at is not None:
             metrics.set(Metric.NODE_LIST_AGE, state.list_age() / SECOND)
-        if node.leader_heard_at:
-            metrics.set(Metric.NODE_LEADER_SILENCE, (now - node.leader_heard_at) / SECOND)
+        if node.leader_last_heard_at:
+            metrics.set(Metric.NODE_LEADER_SILENCE, (now - node.leader_last_heard_at) / SECOND)
         if node.member is not None:
-            self._copy_log(node.member)
+            self._update_log_gauges(node.member)
         if node.log_output is not None:
             metrics.set(Metric.NODE_LOG_LINES_DROPPED, node.log_output.dropped)
             metrics.set(Metric.NODE_LOG_BYTES, node.log_output.written_bytes)
 
-    def _copy_log(self, member: ControlMember) -> None:
+    def _update_log_gauges(self, member: ControlMember) -> None:
         metrics = self._metrics
         metrics.set(Metric.NODE_LOG_LEADERLESS, member.leaderless / SECOND)
         status = member.status()
--- a/src/alderhatch/node/parts_collector.py
+++ b/src/alderhatch/node/parts_collector.py
@@ -1,4 +1,4 @@
-"""Asks servers for a share of a gather and hands on what comes in, merged."""
+"""Queries servers for a share of a gather and reports the merged parts."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from .dialect import CallerRequest, Dialect
 from .forward_runner import ForwardRunner
 
-LATE_PARTS_EVERY: Millis = 4.0
-"""How often parts are handed on that come after the answer was due."""
+LATE_PARTS_INTERVAL: Millis = 4.0
+"""Interval of the reports of parts that arrive after the answer was due."""
 
-TakeParts = Callable[[PartsBundle], None]
+PartsHandler = Callable[[PartsBundle], None]
 
 
 class PartsCollector:
     """Runs shares of gathers.
 
     Args:
-        runner: Carries out the requests to servers.
+        runner: Sends the requests to servers.
         dialect: Merges the answers.
     """
 
@@ -35,52 +35,56 @@
         self._clock = LoopClock()
 
     async def collect(
-        self, req: CallerRequest, run: ForwardRun, word_at: tuple[Millis, ...], take: TakeParts
+        self,
+        req: CallerRequest,
+        run: ForwardRun,
+        report_times: tuple[Millis, ...],
+        on_parts: PartsHandler,
     ) -> None:
-        """Ask for the shards of a run until none can come any more.
+        """Query the shards of a run until no further part can arrive.
 
         Args:
             req: The caller's request.
             run: The run of the share.
-            word_at: When to hand on what is there, also if that is nothing; the last one is when
-                the answer is due. After it each part is handed on soon after it came.
-            take: Takes the parts that were not handed on yet.
+            report_times: When to report the parts that have arrived, even if there are none; the
+                last one is when the answer is due. Later parts are reported soon after they arrive.
+            on_parts: Handles the parts that were not yet reported.
         """
-        handed: set[str] = set()
+        reported: set[str] = set()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._hand_on_in_time, req, run, word_at, take, handed)
+            nursery.start_soon(self._report_on_schedule, req, run, report_times, on_parts, reported)
             await self._runner.collect(req, run)
             nursery.cancel_scope.cancel()
-        self._hand_on(run, take, handed, False)
+        self._report(run, on_parts, reported, False)
 
-    async def _hand_on_in_time(
+    async def _report_on_schedule(
         self,
         req: CallerRequest,
         run: ForwardRun,
-        word_at: tuple[Millis, ...],
-        take: TakeParts,
-        handed: set[str],
+        report_times: tuple[Millis, ...],
+        on_parts: PartsHandler,
+        reported: set[str],
     ) -> None:
-        for at in word_at:
-            await trio.sleep(max(0.0, at - self._clock.now()) / SECOND)
-            self._hand_on(run, take, handed, True)
+        for report_at in report_times:
+            await trio.sleep(max(0.0, report_at - self._clock.now()) / SECOND)
+            self._report(run, on_parts, reported, True)
             run.may_use_other_servers = True
         while True:
-            await trio.sleep(LATE_PARTS_EVERY / SECOND)
-            self._hand_on(run, take, handed, False)
+            await trio.sleep(LATE_PARTS_INTERVAL / SECOND)
+            self._report(run, on_parts, reported, False)
 
-    def _hand_on(
-        self, run: ForwardRun, take: TakeParts, handed: set[str], is_sign_of_life: bool
+    def _report(
+        self, run: ForwardRun, on_parts: PartsHandler, reported: set[str], even_if_empty: bool
     ) -> None:
-        fresh = {
+        new_parts = {
             name: cast(HttpReply, shard.part)
             for name, shard in run.shards.items()
-            if shard.part is not None and name not in handed
+            if shard.part is not None and name not in reported
         }
-        if not fresh and not is_sign_of_life:
+        if not new_parts and not even_if_empty:
             return
-        handed.update(fresh)
+        reported.update(new_parts)
         destination = cast(AllShards, run.route.destination)
-        bundle = self._dialect.bundle(destination, fresh)
+        bundle = self._dialect.bundle(destination, new_parts)
         spent = tuple(name for name, shard in run.shards.items() if shard.is_spent)
-        take(bundle._replace(spent=spent))
+        on_parts(bundle._replace(spent=spent))
--- a/src/alderhatch/node/request_log.py
+++ b/src/alderhatch/node/request_log.py
@@ -1,4 +1,4 @@
-"""One line for each request that went wrong, and a sample of those that went well."""
+"""Logs requests that failed, were late or incomplete, and a sample of the other ones."""
 
 from __future__ import annotations
 
@@ -15,66 +15,67 @@
 from .node_state import NodeState
 
 CALLER_GONE = "caller_gone"
-SAMPLE = 20
-"""One in so many requests that went well has a line; the others are counted."""
+SAMPLE_INTERVAL = 20
+"""One in this many successful requests is logged."""
 LINES_PER_SECOND = 30.0
-"""For requests that did not go well. A line has some 2 KB, so the worst second stays under 100 KB
-and 3 % of a small host's processor."""
-BURST = 60.0
+"""Rate limit for requests that were not successful. A line has some 2 KB, so the worst second
+stays below 100 KB and 3 % of a small host's processor time."""
+LINE_BURST = 60.0
 SHARE_LINES_PER_SECOND = 5.0
-"""For shares of other hosts' gathers, so that they leave room for this host's own requests."""
-SHARE_BURST = 15.0
-MAX_CHANGES = 20
-"""Changes of belief of servers a second that have a line of their own; the others are counted."""
-MAX_STEPS = 24
-"""Decisions shown on one line; those about shards without an answer come first."""
+"""Separate limit for shares of other hosts' gathers, so that they do not displace the lines of
+this host's own requests."""
+SHARE_LINE_BURST = 15.0
+MAX_STATE_CHANGE_LINES = 20
+"""Server state changes that get their own line in each flush; the others are counted."""
+MAX_DECISIONS = 24
+"""Most decisions on one line; those about shards without an answer are preferred."""
 
 
 class RequestEnd(NamedTuple):
-    """What is known of a request when it ends."""
+    """The result of a request."""
 
     outcome: str
-    """``complete``, ``partial``, or why there is no answer."""
+    """``complete``, ``partial``, or the reason why there is no answer."""
     coverage: float
-    span: Millis
+    duration: Millis
 
 
-def to_request_end(outcome: Outcome, span: Millis) -> RequestEnd:
-    """Return how a request ended."""
+def to_request_end(outcome: Outcome, duration: Millis) -> RequestEnd:
+    """Return the result of a request with an outcome."""
     match outcome:
         case Answered(parts, missing):
             coverage = len(parts) / (len(parts) + missing)
-            return RequestEnd("partial" if missing else "complete", coverage, span)
+            return RequestEnd("partial" if missing else "complete", coverage, duration)
         case Gathered(bundles, missing):
-            parts_in = sum(len(bundle.shards) for bundle in bundles)
-            coverage = parts_in / (parts_in + missing)
-            return RequestEnd("partial" if missing else "complete", coverage, span)
+            received = sum(len(bundle.shards) for bundle in bundles)
+            coverage = received / (received + missing)
+            return RequestEnd("partial" if missing else "complete", coverage, duration)
         case NotRun(reason) | Failed(reason):
-            return RequestEnd(reason, 0.0, span)
+            return RequestEnd(reason, 0.0, duration)
 
 
 class RequestLog:
-    """Writes lines of requests within a rate.
+    """Logs requests within a rate limit.
 
     Args:
-        state: What the node believes, shown with its age.
+        state: The node's state; its age is part of each line.
     """
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
         self._clock = LoopClock()
-        self._lines = TokenBucket(BURST, 0.0)
-        self._share_lines = TokenBucket(SHARE_BURST, 0.0)
+        self._lines = TokenBucket(LINE_BURST, 0.0)
+        self._share_lines = TokenBucket(SHARE_LINE_BURST, 0.0)
         self._since_sample = 0
-        self._handed_since_sample = 0
-        self._folded = 0
+        self._handed_over_since_sample = 0
+        self._suppressed = 0
 
     def log_end(self, req: CallerRequest, run: ForwardRun, end: RequestEnd) -> None:
-        """Take a request that was answered or refused."""
-        late = end.span > run.route.target_latency
-        if end.outcome == "complete" and not late:
+        """Log a request that was answered, failed or was cancelled."""
+        is_late = end.duration > run.route.target_latency
+        if end.outcome == "complete" and not is_late:
             self._since_sample += 1
-            if self._since_sample < SAMPLE:
+            if self._since_sample < SAMPLE_INTERVAL:
                 return
             fields = self._fields(req, run, end) | {"like": self._since_sample}
             log_event(LogEvent.REQUEST_ENDED, None, **fields)
@@ -84,62 +85,64 @@
             fields = self._fields(req, run, end) | {"steps": _steps(run)}
             log_event(LogEvent.REQUEST_ENDED, None, **fields)
         else:
-            self._folded += 1
+            self._suppressed += 1
 
-    def share_ended(self, req: CallerRequest, run: ForwardRun, end: RequestEnd) -> None:
-        """Take a share of another host's gather; that host has the line of the whole."""
+    def log_share_end(self, req: CallerRequest, run: ForwardRun, end: RequestEnd) -> None:
+        """Log an incomplete share of another host's gather, which logs the whole request."""
         if end.outcome == "complete":
             return
         now = self._clock.now()
-        if self._share_lines.take(SHARE_LINES_PER_SECOND, SHARE_BURST, now) > 0.0:
-            self._folded += 1
+        if self._share_lines.take(SHARE_LINES_PER_SECOND, SHARE_LINE_BURST, now) > 0.0:
+            self._suppressed += 1
             return
         fields = self._fields(req, run, end) | {"steps": _steps(run)}
         log_event(LogEvent.SHARE_ENDED, None, **fields)
 
-    def cancelled(self, req: CallerRequest, run: ForwardRun, span: Millis) -> None:
-        """Take a request whose caller has gone; its work at servers is cancelled."""
-        self.log_end(req, run, RequestEnd(CALLER_GONE, 0.0, span))
+    def log_cancelled(self, req: CallerRequest, run: ForwardRun, duration: Millis) -> None:
+        """Log a request whose caller disconnected, so that its work at servers is cancelled."""
+        self.log_end(req, run, RequestEnd(CALLER_GONE, 0.0, duration))
 
-    def refused(self, req: CallerRequest, kind: str, message: str) -> None:
-        """Take a request that was refused before it had a route or a configuration."""
+    def log_refused(self, req: CallerRequest, kind: str, message: str) -> None:
+        """Log a request that was refused before it ran."""
         if self._take_token():
             log_event(LogEvent.REQUEST_ENDED, request=req.request_id, outcome=kind, why=message)
         else:
-            self._folded += 1
+            self._suppressed += 1
 
-    def handed_over(self, req: CallerRequest, host: str | None, outcome: str, span: Millis) -> None:
-        """Take a request that another host answered, or that none did."""
+    def log_handed_over(
+        self, req: CallerRequest, host: str | None, outcome: str, duration: Millis
+    ) -> None:
+        """Log a request that was handed over; ``host`` is None if no host answered it."""
         if host is not None:
-            self._handed_since_sample += 1
-            if self._handed_since_sample < SAMPLE:
+            self._handed_over_since_sample += 1
+            if self._handed_over_since_sample < SAMPLE_INTERVAL:
                 return
-            self._handed_since_sample = 0
+            self._handed_over_since_sample = 0
         if not self._take_token():
-            self._folded += 1
+            self._suppressed += 1
             return
         log_event(
             LogEvent.REQUEST_HANDED_OVER,
             request=req.request_id,
             host=host,
             outcome=outcome,
-            span_ms=round(span, 1),
+            span_ms=round(duration, 1),
         )
 
     def flush(self) -> None:
-        """Say what changed of the servers, and how many lines were left out, if any were."""
+        """Log the changes of server states, and the number of suppressed lines."""
         changes = self._state.table.take_changes()
-        for change in changes[:MAX_CHANGES]:
+        for change in changes[:MAX_STATE_CHANGE_LINES]:
             log_event(LogEvent.SERVER_BELIEF, None, **change._asdict())
-        if len(changes) > MAX_CHANGES:
-            rest = Counter(change.belief for change in changes[MAX_CHANGES:])
+        if len(changes) > MAX_STATE_CHANGE_LINES:
+            rest = Counter(change.belief for change in changes[MAX_STATE_CHANGE_LINES:])
             log_event(LogEvent.SERVER_BELIEF, more=dict(rest))
-        if self._folded:
-            log_event(LogEvent.REQUEST_LINES_FOLDED, count=self._folded)
-            self._folded = 0
+        if self._suppressed:
+            log_event(LogEvent.REQUEST_LINES_FOLDED, count=self._suppressed)
+            self._suppressed = 0
 
     def _take_token(self) -> bool:
-        return self._lines.take(LINES_PER_SECOND, BURST, self._clock.now()) == 0.0
+        return self._lines.take(LINES_PER_SECOND, LINE_BURST, self._clock.now()) == 0.0
 
     def _fields(self, req: CallerRequest, run: ForwardRun, end: RequestEnd) -> dict[str, object]:
         age = self._state.list_age()
@@ -148,7 +151,7 @@
             "route": run.route.name,
             "outcome": end.outcome,
             "coverage": round(end.coverage, 4),
-            "span_ms": round(end.span, 1),
+            "span_ms": round(end.duration, 1),
             "due_ms": round(run.due - run.times.arrived, 1),
             "left_ms": round(run.times.deadline - run.times.arrived),
             "hedges": run.hedges,
@@ -160,8 +163,8 @@
 
 
 def _steps(run: ForwardRun) -> list[dict[str, object]]:
-    lacking = {name for name, shard in run.shards.items() if shard.part is None}
-    shown = [one for one in run.trace if one.shard in lacking][:MAX_STEPS]
+    unanswered = {name for name, shard in run.shards.items() if shard.part is None}
+    shown = [decision for decision in run.trace if decision.shard in unanswered][:MAX_DECISIONS]
     if not shown:
-        shown = run.trace[-MAX_STEPS:]
-    return [one.log_fields() for one in shown]
+        shown = run.trace[-MAX_DECISIONS:]
+    return [decision.log_fields() for decision in shown]
--- a/src/alderhatch/node/server_list.py
+++ b/src/alderhatch/node/server_list.py
@@ -1,4 +1,4 @@
-"""Who reads the list of servers, and how often."""
+"""Reads the server list at the leader, and elsewhere if no updates arrive."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 from .node_state import NodeState
 from .tier_server import TierServer
 
-READ_EVERY: Millis = 900.0
-"""How often the leader reads it. With the list's own lag, the way to the hosts and one failed read
-it stays well under the time within which a leaving server must get nothing more."""
-COLD_SLACK: Millis = 500.0
-"""A server that is cold for longer than it was to be by so much has become cold again."""
-FRESH_FOR: Millis = 2500.0
-"""A host whose list is older reads it for itself."""
-OWN_READ_EVERY: Millis = 2000.0
-"""How often a host does so, spread by half as much again: all may do it at once, and the calls of
-all are limited together."""
+READ_INTERVAL: Millis = 900.0
+"""Interval of the leader's reads. Together with the lag of the list, the update of the hosts and
+one failed read, it is well below the time after which a leaving server must receive no requests."""
+WARM_UP_TOLERANCE: Millis = 500.0
+"""A server whose warm-up ends later than expected by more than this has become cold again."""
+FRESH_DURATION: Millis = 2500.0
+"""A host with an older list reads the list itself."""
+LOCAL_READ_INTERVAL: Millis = 2000.0
+"""Interval of a host's own reads, plus up to half of it at random: all hosts may read at the same
+time, and share one rate limit."""
 
 
 class ListUnavailableError(Exception):
-    """The list could not be read now."""
+    """The list could not be read."""
 
 
 class ServerListSource(Protocol):
-    """Where the list comes from."""
+    """Source of the server list."""
 
     async def read(self) -> list[ServerRecord]:
-        """Return all servers that are listed.
+        """Return all listed servers.
 
         Raises:
-            ListUnavailableError: If it can't be read in time.
+            ListUnavailableError: If the list cannot be read in time.
         """
 
 
 class ServerListReader:
-    """Reads the list at the leader for everybody, and elsewhere only when no news comes.
+    """Reads the list at the leader for all hosts, and at other hosts only if no updates arrive.
 
     Args:
-        source: Where the list comes from.
-        state: This host's beliefs.
-        server: Tells the other hosts while this one leads.
-        rng: Spreads the reads of hosts that are cut off.
+        source: Source of the list.
+        state: This host's state.
+        server: Sends the list to the other hosts while this one leads.
+        rng: Spreads the reads of hosts that have no leader.
     """
 
     def __init__(
@@ -58,55 +58,59 @@
         self._state = state
         self._server = server
         self._rng = rng
-        self._works = True
+        self._is_readable = True
         self._clock = LoopClock()
-        self._cold_ends: dict[str, Millis] = {}
-        """When each server is warm by what was passed on of it."""
+        self._warm_at: dict[str, Millis] = {}
+        """When each server's warm-up ends, according to the records sent to the hosts."""
 
     async def run(self) -> None:
-        """Read whenever it is due, until cancelled."""
+        """Read the list whenever it is due, until cancelled."""
         if self._state.stored.version > 0:
-            # After a restart this host can serve as soon as it knows the servers. Read only by the
-            # leader, the list would be there an election later.
+            # After a restart this host can serve as soon as it knows the servers. If only the
+            # leader read the list, it would arrive after the next election.
             await self._read()
         while True:
             if self._server.leads:
                 await self._read_while_leading()
-            # Not at once after a start: the leader's news usually come within this time.
-            pause = (1.0 + self._rng.random() / 2) * OWN_READ_EVERY
+            # No read right after a start: the leader's updates usually arrive within this time.
+            pause = (1.0 + self._rng.random() / 2) * LOCAL_READ_INTERVAL
             await self._server.role_changed.wait_for(pause)
-            if not self._server.leads and self._is_needed() and self._state.list_age() > FRESH_FOR:
+            if (
+                not self._server.leads
+                and self._is_needed()
+                and self._state.list_age() > FRESH_DURATION
+            ):
                 await self._read()
 
     def _is_needed(self) -> bool:
-        """Return whether this host asks servers itself.
+        """Return whether this host needs the list to query servers itself.
 
-        Were hundreds of hosts that stand by to read it as well, the list would refuse all of them.
+        If hundreds of standby hosts read the list as well, its rate limit would refuse all hosts.
         """
         return not self._state.stands_by or self._state.wants_servers
 
     async def _read_while_leading(self) -> None:
-        if self._state.list_age() < FRESH_FOR:
-            # A new leader tells at once what it read before it was elected.
+        if self._state.list_age() < FRESH_DURATION:
+            # A new leader immediately sends the list that it read before its election.
             self._server.take_list(dict(self._state.records))
         while self._server.leads:
             await self._read()
-            await trio.sleep(READ_EVERY / SECOND)
+            await trio.sleep(READ_INTERVAL / SECOND)
 
     async def _read(self) -> None:
         try:
             listed = await self._source.read()
         except ListUnavailableError as exc:
-            if self._works:
+            if self._is_readable:
                 log_event(LogEvent.SERVER_LIST_LOST, why=str(exc))
-            self._works = False
+            self._is_readable = False
             return
-        if not self._works:
+        if not self._is_readable:
             log_event(LogEvent.SERVER_LIST_BACK, servers=len(listed))
-        self._works = True
+        self._is_readable = True
         records = {record.server_id: self._with_stable_warm_up(record) for record in listed}
-        self._cold_ends = {
-            name: self._cold_ends[name] for name in self._cold_ends if name in records
+        self._warm_at = {
+            known_id: self._warm_at[known_id] for known_id in self._warm_at if known_id in records
         }
         if self._server.leads:
             self._server.take_list(records)
@@ -115,19 +119,21 @@
         self._state.list_is_fresh()
 
     def _with_stable_warm_up(self, record: ServerRecord) -> ServerRecord:
-        """Return a record that differs from the last one only if the server itself does.
+        """Return a record that differs from the last one only if the server has changed.
 
-        The time left of a warm-up differs in each read. Passed on each time, it would make every
-        server news for every host; it is told once, and hosts count it down by themselves.
+        The remaining warm-up time differs in each read. If it were sent each time, every read would
+        update every warming server at every host. It is sent once, and hosts count it down.
         """
         now = self._clock.now()
-        known = self._state.records.get(record.server_id)
-        ends = self._cold_ends.get(record.server_id, now)
-        is_cold_again = record.warm_up > 0 and now + record.warm_up > ends + COLD_SLACK
-        if known is None or is_cold_again or (record.warm_up == 0) != (known.warm_up == 0):
-            self._cold_ends[record.server_id] = now + record.warm_up
-            if known is not None and record.warm_up == known.warm_up:
-                # Equal to the last word, this one would tell nobody anything.
+        previous = self._state.records.get(record.server_id)
+        known_warm_at = self._warm_at.get(record.server_id, now)
+        is_cold_again = (
+            record.warm_up > 0 and now + record.warm_up > known_warm_at + WARM_UP_TOLERANCE
+        )
+        if previous is None or is_cold_again or (record.warm_up == 0) != (previous.warm_up == 0):
+            self._warm_at[record.server_id] = now + record.warm_up
+            if previous is not None and record.warm_up == previous.warm_up:
+                # Changed by 1 ms, as an equal record would not be sent as an update.
                 return record._replace(warm_up=record.warm_up + 1.0)
             return record
-        return record._replace(warm_up=known.warm_up)
+        return record._replace(warm_up=previous.warm_up)
--- a/src/alderhatch/node/split_gather.py
+++ b/src/alderhatch/node/split_gather.py
@@ -1,4 +1,4 @@
-"""Gathers over many shards that several hosts ask for together, seen from the first one."""
+"""Gathers over many shards that are split among hosts, at the host that received the request."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 from .node_state import NodeState
 from .parts_collector import PartsCollector
 
-LAST_WORD: Millis = 0.5
-"""Before the answer is due, so that this host's own parts are in it."""
+LOCAL_REPORT_MARGIN: Millis = 0.5
+"""How long before the answer is due this host reports its own parts, so that they are in it."""
 
 
 class SplitGathers:
-    """Has other hosts ask for shares of gathers, and merges what they bring.
+    """Splits gathers among hosts and merges their parts.
 
     Args:
-        state: Knows who owns which shard.
-        collector: Asks for this host's own share.
+        state: The node's state with the owners of the shards.
+        collector: Queries this host's own share.
         links: The links to other hosts.
     """
 
@@ -53,7 +53,7 @@
         self.links = links
 
     def create(self, req: CallerRequest, route: Route, times: RunTimes) -> SplitGather | None:
-        """Return a gather that has not asked anybody yet; None if this host does better alone."""
+        """Return a gather that has not started, or None if it should not be split."""
         destination = route.destination
         if not isinstance(destination, AllShards):
             return None
@@ -69,9 +69,9 @@
         return SplitGather(self, req, route, destination, plan, times)
 
     def _is_servable(self, destination: AllShards, now: Millis) -> bool:
-        """Return whether so many shards have a server that an answer can be had at all.
+        """Return whether enough shards have a usable server to reach the minimum coverage.
 
-        If not, this host refuses the request by itself, and its caller hears that nothing ran.
+        If not, this host refuses the request on its own, so the caller learns that nothing ran.
         """
         table = self.state.table
         servable = sum(1 for name in destination.shards if table.count_usable(name, now))
@@ -79,7 +79,7 @@
 
 
 class SplitGather:
-    """One gather: what each host was asked for, and what came."""
+    """One gather: the shares of the hosts and the parts that have arrived."""
 
     def __init__(
         self,
@@ -94,46 +94,46 @@
         self._state = gathers.state
         self._req = req
         self._route = route
-        self._most_records = destination.top_k
+        self._max_records = destination.top_k
         self._times = times
         self._plan = plan
         self.split = SplitRun(
             plan, min_parts(len(route.upstreams), destination.min_coverage), times
         )
-        self.own = self._share(plan.own, False)
+        self.own_run = self._share_run(plan.own, False)
         """The run of this host's own share."""
-        self._own_number = len(plan.others) if plan.own else None
-        self.again: list[ForwardRun] = []
-        """Runs for what other hosts did not bring."""
+        self._own_share_number = len(plan.others) if plan.own else None
+        self.repeat_runs: list[ForwardRun] = []
+        """Runs for shards whose parts other hosts did not deliver."""
         self._clock = LoopClock()
         self._scopes: dict[int, trio.CancelScope] = {}
         self._outcome: Outcome | None = None
         self._changed = trio.Event()
 
     async def run(self) -> Outcome:
-        """Gather until there is an outcome; if cancelled, so is the work of all hosts."""
+        """Gather until there is an outcome; cancellation also cancels the other hosts' work."""
         async with trio.open_nursery() as nursery:
-            self._carry_out(self.split.start(self._clock.now()), nursery)
+            self._apply(self.split.start(self._clock.now()), nursery)
             while self._outcome is None:
                 self._changed = trio.Event()
                 with trio.move_on_at(self.split.next_wake / SECOND):
                     await self._changed.wait()
                 now = self._clock.now()
                 if self._outcome is None and now >= self.split.next_wake:
-                    self._carry_out(self.split.on_timer(now), nursery)
+                    self._apply(self.split.on_timer(now), nursery)
             nursery.cancel_scope.cancel()
         return self._outcome
 
-    def _carry_out(self, effects: list[Effect], nursery: trio.Nursery) -> None:
+    def _apply(self, effects: list[Effect], nursery: trio.Nursery) -> None:
         for effect in effects:
             match effect:
                 case QueryHost(number, share):
-                    nursery.start_soon(self._ask_host, number, share, nursery)
+                    nursery.start_soon(self._query_host, number, share, nursery)
                 case QueryLocally(number, shards, is_repeat):
-                    nursery.start_soon(self._ask_here, number, shards, is_repeat, nursery)
+                    nursery.start_soon(self._query_locally, number, shards, is_repeat, nursery)
                 case HostSilent(number):
-                    self._pass_over(
-                        number, "it has said nothing for too long", AVOID_SILENT_DURATION
+                    self._avoid_host(
+                        number, "no report from the host before the timeout", AVOID_SILENT_DURATION
                     )
                 case CancelShare(number):
                     if number in self._scopes:
@@ -145,31 +145,31 @@
 
     # At this host
 
-    def _share(self, shards: tuple[str, ...], is_repeat: bool) -> ForwardRun:
+    def _share_run(self, shards: tuple[str, ...], is_repeat: bool) -> ForwardRun:
         times = RunTimes(self._times.arrived, self._times.deadline, self._times.deadline)
         servers: dict[str, frozenset[str]] = {}
-        # Who owns a shard may have changed since, so the zone is that of the host that was asked.
+        # The owner of a shard may have changed since, so the zone is that of the host in the plan.
         for share in self._plan.others if is_repeat else ():
-            again = set(shards).intersection(share.shards)
-            servers |= agreed_servers(self._state, self._route, again, share.host.zone)
+            repeated = set(shards).intersection(share.shards)
+            servers |= agreed_servers(self._state, self._route, repeated, share.host.zone)
         rules = ShareRules(servers, is_repeat, self._times.answer_by)
         return ForwardRun(self._route, shards, times, self._state.table, rules)
 
-    async def _ask_here(
+    async def _query_locally(
         self, number: int, shards: tuple[str, ...], is_repeat: bool, nursery: trio.Nursery
     ) -> None:
-        run = self.own
-        if number != self._own_number:
-            run = self._share(shards, is_repeat)
-            self.again.append(run)
+        run = self.own_run
+        if number != self._own_share_number:
+            run = self._share_run(shards, is_repeat)
+            self.repeat_runs.append(run)
 
-        def take(bundle: PartsBundle) -> None:
-            self._carry_out(self.split.on_parts(number, bundle, self._clock.now()), nursery)
+        def handle_parts(bundle: PartsBundle) -> None:
+            self._apply(self.split.on_parts(number, bundle, self._clock.now()), nursery)
 
-        word_at = (self._times.answer_by - LAST_WORD,)
+        report_times = (self._times.answer_by - LOCAL_REPORT_MARGIN,)
         with self._scope(number):
-            await self._gathers.collector.collect(self._req, run, word_at, take)
-            self._carry_out(self.split.on_end(number, self._clock.now()), nursery)
+            await self._gathers.collector.collect(self._req, run, report_times, handle_parts)
+            self._apply(self.split.on_end(number, self._clock.now()), nursery)
 
     def _scope(self, number: int) -> trio.CancelScope:
         scope = self._scopes[number] = trio.CancelScope()
@@ -177,34 +177,38 @@
 
     # At other hosts
 
-    async def _ask_host(self, number: int, share: HostShare, nursery: trio.Nursery) -> None:
-        def take(news: PartsNews) -> None:
-            bundle = to_parts_bundle(news, share.shards, self._most_records)
-            self._carry_out(self.split.on_parts(number, bundle, self._clock.now()), nursery)
+    async def _query_host(self, number: int, share: HostShare, nursery: trio.Nursery) -> None:
+        def handle_parts(update: PartsNews) -> None:
+            bundle = to_parts_bundle(update, share.shards, self._max_records)
+            self._apply(self.split.on_parts(number, bundle, self._clock.now()), nursery)
 
         with self._scope(number):
             try:
-                await self._gathers.links.ask_parts(share.host, self._message(share), take)
+                await self._gathers.links.request_parts(
+                    share.host, self._to_message(share), handle_parts
+                )
             except HandOverLostError as exc:
-                self._lost(number, "the way to it is gone", exc.was_sent, nursery)
+                self._on_host_lost(number, "link to the host lost", exc.was_sent, nursery)
                 return
             except ValueError as exc:
-                self._lost(number, f"its answer does not fit: {exc}", True, nursery)
+                self._on_host_lost(number, f"invalid message from the host: {exc}", True, nursery)
                 return
             except AlderhatchError as exc:
                 may_have_run = exc.failure.answer.ran is not Ran.NOT_RUN
-                self._lost(number, exc.failure.message, may_have_run, nursery)
+                self._on_host_lost(number, exc.failure.message, may_have_run, nursery)
                 return
-            self._carry_out(self.split.on_end(number, self._clock.now()), nursery)
+            self._apply(self.split.on_end(number, self._clock.now()), nursery)
 
-    def _lost(self, number: int, why: str, may_have_run: bool, nursery: trio.Nursery) -> None:
-        self._pass_over(number, why, AVOID_DURATION)
+    def _on_host_lost(
+        self, number: int, why: str, may_have_run: bool, nursery: trio.Nursery
+    ) -> None:
+        self._avoid_host(number, why, AVOID_DURATION)
         now = self._clock.now()
-        self._carry_out(self.split.on_lost(number, may_have_run, now), nursery)
+        self._apply(self.split.on_lost(number, may_have_run, now), nursery)
 
-    def _pass_over(self, number: int, why: str, span: Millis) -> None:
+    def _avoid_host(self, number: int, why: str, duration: Millis) -> None:
         share = self._plan.others[number]
-        self._gathers.links.avoid(share.host.name, self._clock.now(), span)
+        self._gathers.links.avoid(share.host.name, self._clock.now(), duration)
         log_event(
             LogEvent.SHARE_LOST,
             request=self._req.request_id,
@@ -213,7 +217,7 @@
             why=why,
         )
 
-    def _message(self, share: HostShare) -> PartsRequest:
+    def _to_message(self, share: HostShare) -> PartsRequest:
         now = self._clock.now()
         http = self._req.http
         return PartsRequest(
@@ -231,17 +235,19 @@
 def agreed_servers(
     state: NodeState, route: Route, shards: Iterable[str], zone: str
 ) -> dict[str, frozenset[str]]:
-    """Return which servers of shards are asked, for those with more than a request may run on.
+    """Return the servers to query for shards with more servers than the route allows.
+
+    All hosts compute the same servers, so a repeated query goes to the same servers.
 
     Args:
-        state: Knows the servers.
+        state: The node's state with the servers.
         route: The route.
         shards: The shards.
-        zone: The availability zone of the host that was asked for them first.
+        zone: The availability zone of the host that was first asked to query them.
     """
-    agreed: dict[str, frozenset[str]] = {}
+    agreed_by_shard: dict[str, frozenset[str]] = {}
     for shard in shards:
         servers = state.table.agreed_servers(shard, route.max_servers, zone)
         if servers is not None:
-            agreed[shard] = servers
-    return agreed
+            agreed_by_shard[shard] = servers
+    return agreed_by_shard
