--- a/features/steps/platform_standby_steps.py
+++ b/features/steps/platform_standby_steps.py
@@ -10,12 +10,12 @@
 from features.support.platform_tier import HOST, PlatformTier
 from features.support.tier import until
 
-STANDS_BY = '"stands_by":true'
+STANDBY_FIELD = '"stands_by":true'
 _numbers = itertools.count(1)
 
 
 def fresh_id():
-    """Return a request id that no other file of steps uses."""
+    """Return a request ID that no other steps module uses."""
     return f"b{next(_numbers):015x}"
 
 
@@ -33,21 +33,21 @@
         until(lambda index=index: tier.is_ready(index), f"node {index} is ready")
 
 
-def standing_by(tier):
-    """Return the hosts whose last word on it is that they stand by."""
-    found = []
+def standby_hosts(tier):
+    """Return the hosts whose last ``standing_changed`` line says that they are standby hosts."""
+    indexes = []
     for index in tier.running():
         lines = [line for line in tier.log_text(index).splitlines() if "standing_changed" in line]
-        if lines and STANDS_BY in lines[-1].replace(" ", ""):
-            found.append(index)
-    return found
+        if lines and STANDBY_FIELD in lines[-1].replace(" ", ""):
+            indexes.append(index)
+    return indexes
 
 
-@then("some of its hosts stand by, and know no servers")
-def step_some_stand_by(context):
+@then("some of its hosts are standby hosts, without a server list")
+def step_some_standby(context):
     tier = context.platform
-    context.standing = until(lambda: standing_by(tier), "a host stands by")
-    assert len(context.standing) <= len(tier.running()) - MIN_ADVERTISED_HOSTS, context.standing
+    context.standby = until(lambda: standby_hosts(tier), "a standby host")
+    assert len(context.standby) <= len(tier.running()) - MIN_ADVERTISED_HOSTS, context.standby
 
 
 @then("a request for a path without a route gets 404 at each host")
@@ -57,14 +57,14 @@
         assert tier.ask(index, "/nowhere/", fresh_id()).status == 404
 
 
-@when("the caller of a slow order at a host that stands by leaves")
+@when("the caller of a slow order at a standby host leaves")
 def step_caller_leaves(context):
     tier = context.platform
     kitchen = [one for one in tier.servers.values() if one.upstream == "kitchen"]
     for server in kitchen:
         server.delay = 60.0
     request_id = fresh_id()
-    index = context.standing[0]
+    index = context.standby[0]
     conn = http.client.HTTPConnection(tier.addresses[index], tier.ports[0], timeout=10)
     headers = {"Host": HOST, "Attempt-Id": request_id, "Time-Budget-Ms": "60000"}
     conn.request("POST", "/orders/7", b"towels", headers)
@@ -80,13 +80,13 @@
         server.delay = 0.0
 
 
-def answers(tier, index, path):
+def answers_query(tier, index, path):
     answer = tier.ask(index, path, fresh_id())
     return answer is not None and answer.status == 200
 
 
-@then("a query at each host that is left is answered in the end")
-def step_answered(context):
+@then("each remaining host eventually answers a query")
+def step_remaining_answer(context):
     tier = context.platform
     for index in tier.running():
-        until(lambda index=index: answers(tier, index, "/paths/7"), f"node {index} answers")
+        until(lambda index=index: answers_query(tier, index, "/paths/7"), f"node {index} answers")
