--- a/features/platform_node.feature
+++ b/features/platform_node.feature
@@ -173,11 +173,11 @@
     # do; the answer is the same whoever asks for which part.
     Given a platform tier that serves 50 shards
     Then a query at each host gets the greatest records of all 50 shards with their seals
-    And each server was asked no more than once for it
-    And more than one host asked the servers
+    And each server was queried at most once for it
+    And more than one host queried the servers
 
   Scenario: A host that gathers for others is lost
     # Its share is asked for again by the host that has the caller.
     Given a platform tier that serves 50 shards
-    When a host is stopped in its tracks, and then killed, while queries come in at another one
-    Then every query was answered whole, or left out parts only while the host stood still
+    When a host is suspended, and then killed, while another host receives queries
+    Then every query was answered completely, or omitted parts only while the host was suspended
