--- a/src/alderhatch/core/control/roster.py
+++ b/src/alderhatch/core/control/roster.py
@@ -24,9 +24,7 @@
     )
 
 
-def owner_plan_of_roster(
-    roster: Iterable[RosterEntry], owners_per_server: int
-) -> OwnerPlan | None:
+def owner_plan_of_roster(roster: Iterable[RosterEntry], owners_per_server: int) -> OwnerPlan | None:
     """Return the owner plan for a roster.
 
     Args:
