--- a/src/alderhatch/control/_log_driver.py
+++ b/src/alderhatch/control/_log_driver.py
@@ -40,7 +40,7 @@
 from ._log_waiters import RefusedError, Waiters, failed
 from ._log_writer import LogWriter, SaveState
 from .log_node_config import LogNodeConfig
-from .replicated_log import LogStatus, StateMachine, SyncFigures
+from .replicated_log import LogStatus, StateMachine, SyncStats
 
 RoleCallback: TypeAlias = Callable[[Role, int, str | None], None]
 """Takes the role, the term and the leader's host name."""
@@ -236,7 +236,7 @@
         if self.node.failure is not None:
             raise failed(ErrorKind.STORAGE_FAILED, self.node.failure)
 
-    def sync_figures(self) -> SyncFigures:
+    def sync_stats(self) -> SyncStats:
         """Return how the journal was synced so far."""
         return self._writer.syncs
 
--- a/src/alderhatch/control/_log_writer.py
+++ b/src/alderhatch/control/_log_writer.py
@@ -20,7 +20,7 @@
     StorageFailed,
 )
 from ..storage.data_folder import DataFolder, LogWrite
-from .replicated_log import SyncFigures
+from .replicated_log import SyncStats
 
 MAX_GROUP_BYTES = 4 * 1024 * 1024
 """Writes are put on disk together up to this size."""
@@ -59,7 +59,7 @@
         self._wanted = trio.Event()
         self._read_error: OSError | None = None
         self._clock = LoopClock()
-        self.syncs = SyncFigures(0, 0.0)
+        self.syncs = SyncStats(0, 0.0)
 
     def add(self, write: Write) -> None:
         """Ask for a write."""
@@ -122,9 +122,7 @@
         writes = [LogWrite(one.hard_state, one.entries) for one in group]
         began = self._clock.now()
         await self._call(lambda: self._folder.write(*writes))
-        self.syncs = SyncFigures(
-            self.syncs.number + 1, self.syncs.spent + self._clock.now() - began
-        )
+        self.syncs = SyncStats(self.syncs.number + 1, self.syncs.spent + self._clock.now() - began)
         self._on_event(Persisted(group[-1].number))
 
     async def _call(self, write: Callable[[], _T]) -> _T:
--- a/src/alderhatch/control/_member_plan.py
+++ b/src/alderhatch/control/_member_plan.py
@@ -7,7 +7,14 @@
 from ..clock import SECOND, Millis
 from ..core.control.host_table import ControlRecord
 from .control_log import ControlLog
-from .member_steps import AddMember, HandOver, PromoteMember, RemoveMember, Step, take_step
+from .member_steps import (
+    AddMember,
+    HandOver,
+    MembershipStep,
+    PromoteMember,
+    RemoveMember,
+    execute_step,
+)
 from .observed_state import ObservedState
 from .replicated_log import LogStatus
 
@@ -17,7 +24,7 @@
 
 def next_step(
     controls: dict[str, ControlRecord], status: LogStatus, caught_up: frozenset[str]
-) -> Step | None:
+) -> MembershipStep | None:
     """Return the one thing to do next, or None if the members are as declared.
 
     A replacement gets its vote before the host that it replaces loses its own: the other way
@@ -56,10 +63,10 @@
         """Take steps until cancelled."""
         while True:
             step = self._next()
-            failed = step is not None and not await take_step(self._log, step)
+            failed = step is not None and not await execute_step(self._log, step)
             await trio.sleep((RETRY_INTERVAL if failed else STEP_INTERVAL) / SECOND)
 
-    def _next(self) -> Step | None:
+    def _next(self) -> MembershipStep | None:
         status = self._log.status()
         ready = frozenset(name for name in status.learners if self._log.caught_up(name))
         return next_step(self._observed.state.hosts.controls, status, ready)
--- a/src/alderhatch/control/_operator_views.py
+++ b/src/alderhatch/control/_operator_views.py
@@ -155,7 +155,7 @@
             "has_lease": self._host.log.holds_lease(),
             "grants_leases": leadership is not None,
             "entries": len(state.hosts.entries),
-            "entries_live": None if leadership is None else leadership.live_entries(),
+            "entries_live": None if leadership is None else leadership.live_entry_count(),
             "ledger": state.ledger.counts()._asdict(),
         }
 
--- a/src/alderhatch/control/control_host.py
+++ b/src/alderhatch/control/control_host.py
@@ -16,8 +16,8 @@
 from ..signal import Signal
 from .control_log import ControlLog
 from .control_time import ControlTime
-from .leader_link import Granted, LeaderLink
-from .leadership import Leadership, Services
+from .leader_link import GrantResult, LeaderLink
+from .leadership import Leadership, LeadershipDependencies
 from .observed_state import ObservedState
 from .proposer import Proposer
 
@@ -66,7 +66,7 @@
         self._time = ControlTime(clock, wall or WallClock())
         self.proposer = Proposer(log, self._time)
         """Puts operations on the log."""
-        self._services = Services(log, observed, self.proposer, clock, self._time)
+        self._services = LeadershipDependencies(log, observed, self.proposer, clock, self._time)
         self._role_changed = role_changed
         self._nursery: trio.Nursery | None = None
 
@@ -84,7 +84,7 @@
             nursery.start_soon(self._watch_role)
             task_status.started()
 
-    async def renew(self, renewal: Renewal) -> Granted:
+    async def renew(self, renewal: Renewal) -> GrantResult:
         """Get the leader's answer to an entry's renewal.
 
         Raises:
@@ -94,7 +94,7 @@
             return await self._leader_link.renew(renewal)
         return self.renew_here(renewal)
 
-    def renew_here(self, renewal: Renewal) -> Granted:
+    def renew_here(self, renewal: Renewal) -> GrantResult:
         """Decide on a renewal as the leader.
 
         Raises:
@@ -102,7 +102,7 @@
         """
         leadership = self._leading()
         grant = leadership.renew(renewal, self._start_registration)
-        return Granted(leadership.term, grant)
+        return GrantResult(leadership.term, grant)
 
     async def operate(self, operations: list[bytes]) -> list[bytes]:
         """Put encoded operations on the log, here or at the leader; return their answers.
@@ -171,5 +171,5 @@
         if self.leadership is None:
             return
         log_event(LogEvent.CONTROL_FOLLOWS, term=self.leadership.term)
-        self.leadership.end()
+        self.leadership.stop()
         self.leadership = None
--- a/src/alderhatch/control/control_metrics.py
+++ b/src/alderhatch/control/control_metrics.py
@@ -67,4 +67,4 @@
         # A former leader's last count would go on being shown, and look like entries that serve.
         self._metrics.clear(Metric.CONTROL_ENTRIES_LIVE)
         if leadership is not None:
-            self._metrics.set(Metric.CONTROL_ENTRIES_LIVE, leadership.live_entries())
+            self._metrics.set(Metric.CONTROL_ENTRIES_LIVE, leadership.live_entry_count())
--- a/src/alderhatch/control/leader_link.py
+++ b/src/alderhatch/control/leader_link.py
@@ -43,7 +43,7 @@
     port: int
 
 
-class Granted(NamedTuple):
+class GrantResult(NamedTuple):
     """The leader's answer to one renewal."""
 
     term: int
@@ -101,7 +101,7 @@
             await self._use(leader)
             await trio.sleep(REDIAL_INTERVAL / SECOND)
 
-    async def renew(self, renewal: Renewal) -> Granted:
+    async def renew(self, renewal: Renewal) -> GrantResult:
         """Pass on a renewal.
 
         Raises:
@@ -115,7 +115,7 @@
         await call.done.wait()
         if call.reply is None:
             raise _no_leader("the leader did not answer")
-        granted: Granted = call.reply
+        granted: GrantResult = call.reply
         return granted
 
     async def operate(self, operations: list[bytes]) -> list[bytes]:
@@ -232,7 +232,7 @@
     for renewal, call in batch:
         grant = grants.get((renewal.name, renewal.sequence))
         if grant is not None:
-            call.reply = Granted(term, grant if grant.sequence >= 0 else None)
+            call.reply = GrantResult(term, grant if grant.sequence >= 0 else None)
         call.done.set()
 
 
--- a/src/alderhatch/control/leadership.py
+++ b/src/alderhatch/control/leadership.py
@@ -35,7 +35,7 @@
 HOUSE_INTERVAL: Millis = 1 * SECOND
 
 
-class Services(NamedTuple):
+class LeadershipDependencies(NamedTuple):
     """What a leadership works with."""
 
     log: ControlLog
@@ -56,7 +56,7 @@
 class Leadership:
     """One host's time as leader in one term; its lease table dies with it."""
 
-    def __init__(self, services: Services, lease: Millis) -> None:
+    def __init__(self, services: LeadershipDependencies, lease: Millis) -> None:
         self._log, self._observed, self._proposer, self._clock, time = services
         self.term = self._log.status().term
         """The term in which this host leads."""
@@ -74,14 +74,14 @@
         self._scope: trio.CancelScope | None = None
 
     async def run(self) -> None:
-        """Do the leader's duties until ``end``."""
+        """Do the leader's duties until ``stop``."""
         with trio.CancelScope() as self._scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._remove_run_out)
                 nursery.start_soon(self._keep_house)
                 nursery.start_soon(MemberSteps(self._log, self._observed).run)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop the duties; this host leads no more."""
         if self._scope is not None:
             self._scope.cancel()
@@ -131,7 +131,7 @@
         self._sync()
         return self._table.view(name, self._clock.now())
 
-    def live_entries(self) -> int:
+    def live_entry_count(self) -> int:
         """Return how many entries hold a lease of this leader."""
         return self._table.live(self._clock.now())
 
--- a/src/alderhatch/control/log_node.py
+++ b/src/alderhatch/control/log_node.py
@@ -26,7 +26,7 @@
 from ._log_waiters import RefusedError, Waiter, Waiters, failed
 from .log_messages import PeerHello
 from .log_node_config import LogNodeConfig
-from .replicated_log import LogStatus, StateMachine, SyncFigures
+from .replicated_log import LogStatus, StateMachine, SyncStats
 
 if TYPE_CHECKING:
     from ..settings.models import NamedEndpoint
@@ -223,9 +223,9 @@
         """Return what this host knows of the log now."""
         return self._driver.status()
 
-    def sync_figures(self) -> SyncFigures:
+    def sync_stats(self) -> SyncStats:
         """Return how the journal was synced so far."""
-        return self._driver.sync_figures()
+        return self._driver.sync_stats()
 
     @property
     def membership(self) -> Membership:
--- a/src/alderhatch/control/member_steps.py
+++ b/src/alderhatch/control/member_steps.py
@@ -43,10 +43,10 @@
     """Let another host lead, because this one is to stop."""
 
 
-Step: TypeAlias = AddMember | PromoteMember | ReplaceMember | RemoveMember | HandOver
+MembershipStep: TypeAlias = AddMember | PromoteMember | ReplaceMember | RemoveMember | HandOver
 
 
-async def take_step(log: ControlLog, step: Step) -> bool:
+async def execute_step(log: ControlLog, step: MembershipStep) -> bool:
     """Take one step at the leader; return whether it is done, and log it either way."""
     try:
         match step:
--- a/src/alderhatch/control/replicated_log.py
+++ b/src/alderhatch/control/replicated_log.py
@@ -42,7 +42,7 @@
     storage_failure: str | None
 
 
-class SyncFigures(NamedTuple):
+class SyncStats(NamedTuple):
     """How a host's journal was synced so far."""
 
     number: int
--- a/src/alderhatch/node/control_member.py
+++ b/src/alderhatch/node/control_member.py
@@ -11,7 +11,7 @@
 from ..control._log_links import PeerAddress
 from ..control.log_node import LogNode
 from ..control.log_node_config import LogNodeConfig
-from ..control.replicated_log import LogStatus, StateMachine, SyncFigures
+from ..control.replicated_log import LogStatus, StateMachine, SyncStats
 from ..core.raft.effects import Role
 from ..core.raft.membership import Membership
 from ..core.raft.raft_config import RaftConfig
@@ -136,9 +136,9 @@
         since = self._leaderless_since
         return self._leaderless + (self._clock.now() - since if since is not None else 0.0)
 
-    def sync_figures(self) -> SyncFigures | None:
+    def sync_stats(self) -> SyncStats | None:
         """Return how the journal was synced since it was opened; None while the disk fails."""
-        return self.log.sync_figures() if self.log is not None else None
+        return self.log.sync_stats() if self.log is not None else None
 
     def found(self) -> None:
         """Found the replicated log with this host as its first member."""
--- a/src/alderhatch/node/node.py
+++ b/src/alderhatch/node/node.py
@@ -12,7 +12,7 @@
 from ..clock import SECOND, LoopClock, Millis
 from ..codec import Codec
 from ..control.log_messages import PEER_MESSAGE_TYPES
-from ..control.member_steps import HandOver, take_step
+from ..control.member_steps import HandOver, execute_step
 from ..core.control.configuration_register import ConfigurationRegister
 from ..entry.connection_pool import ConnectionPool
 from ..http.messages import HttpLimits, HttpRequest, HttpResponse
@@ -418,7 +418,7 @@
         member = self.member
         if member is None or member.log is None or not member.log.is_leader:
             return
-        await take_step(member.log, HandOver())
+        await execute_step(member.log, HandOver())
 
 
 MAX_CALLER_CONNECTIONS = 1500
--- a/src/alderhatch/node/node_metrics.py
+++ b/src/alderhatch/node/node_metrics.py
@@ -97,7 +97,7 @@
         if status is not None:
             metrics.set(Metric.NODE_LOG_INDEX, status.commit_index)
             metrics.set(Metric.NODE_LOG_TERM, status.term)
-        syncs = member.sync_figures()
+        syncs = member.sync_stats()
         if syncs is not None:
             metrics.set(Metric.NODE_LOG_SYNCS, syncs.number)
             metrics.set(Metric.NODE_LOG_SYNC_TIME, syncs.spent / SECOND)
--- a/src/alderhatch/node/voter_keeper.py
+++ b/src/alderhatch/node/voter_keeper.py
@@ -6,7 +6,7 @@
 
 from ..clock import SECOND, LoopClock, Millis
 from ..control.log_node import LogNode
-from ..control.member_steps import Step, take_step
+from ..control.member_steps import MembershipStep, execute_step
 from .control_member import ControlMember
 from .tier_server import TierServer
 from .voter_plan import lost_after, next_step, wanted_voters
@@ -44,14 +44,14 @@
                 await trio.sleep(STEP_INTERVAL / SECOND)
                 continue
             step = self._next(log)
-            if step is not None and await take_step(log, step):
+            if step is not None and await execute_step(log, step):
                 # While a lost voter and its successor both have a vote, the next loss would take
                 # the majority along; so the step that ends this follows at once.
                 continue
             failed = step is not None
             await trio.sleep((RETRY_INTERVAL if failed else STEP_INTERVAL) / SECOND)
 
-    def _next(self, log: LogNode) -> Step | None:
+    def _next(self, log: LogNode) -> MembershipStep | None:
         now = self._clock.now()
         membership = log.membership
         heard = log.responsive_members()
--- a/src/alderhatch/node/voter_plan.py
+++ b/src/alderhatch/node/voter_plan.py
@@ -6,7 +6,13 @@
 from typing import NamedTuple
 
 from ..clock import Millis
-from ..control.member_steps import AddMember, PromoteMember, RemoveMember, ReplaceMember, Step
+from ..control.member_steps import (
+    AddMember,
+    MembershipStep,
+    PromoteMember,
+    RemoveMember,
+    ReplaceMember,
+)
 from ..core.raft.membership import MAX_VOTERS, Membership
 from .tier_messages import DiskRecord, Place
 
@@ -49,7 +55,7 @@
     unheard: Mapping[str, Millis],
     wanted: int,
     patience: Millis,
-) -> Step | None:
+) -> MembershipStep | None:
     """Return the one thing to do next, or None if the members are as they should be.
 
     Hosts receive the log as learners as soon as they appear, so that a voter can be replaced at
