--- a/features/steps/log_node_steps.py
+++ b/features/steps/log_node_steps.py
@@ -468,7 +468,7 @@
         except AlderhatchError as exc:
             context.refused = exc.failure.kind
         target = cluster.hosts[name]
-        node._links.know(PeerAddress(name, "127.0.0.1", target.port))
+        node._links.add_peer(PeerAddress(name, "127.0.0.1", target.port))
         await trio.sleep(0.5)
         context.stranger_commands = list(stranger.machine.commands)
         context.own_voters = leader.status().voters
--- a/src/alderhatch/control/_log_founding.py
+++ b/src/alderhatch/control/_log_bootstrap.py
@@ -1,4 +1,4 @@
-"""How the hosts of a new cluster agree on its first membership."""
+"""Bootstraps the replicated log: creates a cluster with its first membership."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from ..storage.data_folder import DataFolder
 from ._log_links import LogLinks, PeerAddress
 
-FOUNDING_TERM = 1
-WARN_AFTER: Millis = 2000.0
-"""A host that is being founded with the others joins long before."""
+BOOTSTRAP_TERM = 1
+WARNING_DELAY: Millis = 2000.0
+"""During a bootstrap all hosts join the new cluster well within this time."""
 _CLUSTER_ID_BYTES = 8
 
 
-class LogFounding:
-    """Founds the cluster once every founding host was met with an empty data folder.
+class LogBootstrap:
+    """Bootstraps the cluster once all founders have reported an empty data folder.
 
-    A host whose disk was replaced looks like one that was never there. If it could found a cluster
-    with whoever it reaches, there would be two, each with its own rules and ledger. So the first
-    host by name founds, and only when all the others have told it that they are in no cluster;
-    one that was cut off, or remembers a cluster, stops the founding.
+    A host with a replaced disk can't be told from a new host. If it could bootstrap a cluster
+    with the hosts that it reaches, there could be two clusters, each with its own rules and
+    ledger. Therefore only the first founder by name bootstraps, and only after all other founders
+    have reported that they belong to no cluster. A founder that is unreachable or belongs to a
+    cluster blocks the bootstrap.
     """
 
     def __init__(
@@ -37,54 +38,54 @@
         self._storage = storage
         self._links = links
 
-    async def wait(self) -> bool:
-        """Wait until this host founds the cluster, or learns that another is to do so.
+    async def run_when_ready(self) -> bool:
+        """Bootstrap the cluster if this host is the one to do so, once the conditions hold.
 
         Returns:
-            Whether it has founded the cluster.
+            Whether this host has bootstrapped the cluster.
         """
         if self._name != min(self._founders, default=""):
             return False
-        while not self._all_are_empty():
+        while not self._peers_have_no_cluster():
             await self._links.changed.wait()
         if self._storage.cluster_id:
             return False
-        self._found()
+        self._bootstrap()
         return True
 
-    async def warn(self) -> None:
-        """Say so once if this host's folder is empty while others remember a cluster.
+    async def warn_if_data_lost(self) -> None:
+        """Log one warning if this host's folder is empty but a peer belongs to a cluster.
 
-        The operator has to declare the repair; until then this host does nothing.
+        The operator has to declare the repair; until then this host takes no part.
         """
         while not self._storage.cluster_id:
-            await trio.sleep(WARN_AFTER / SECOND)
-            if self._some_remember() and not self._storage.cluster_id:
+            await trio.sleep(WARNING_DELAY / SECOND)
+            if self._any_peer_has_cluster() and not self._storage.cluster_id:
                 log_event(LogEvent.LOG_FOLDER_IS_NEW, member=self._storage.member_id)
                 return
 
-    def _others(self) -> list[str]:
+    def _other_founders(self) -> list[str]:
         return [name for name in self._founders if name != self._name]
 
-    def _all_are_empty(self) -> bool:
+    def _peers_have_no_cluster(self) -> bool:
         remotes = self._links.remotes
         return all(
             name in remotes and remotes[name].outbox is not None and remotes[name].cluster_id == ""
-            for name in self._others()
+            for name in self._other_founders()
         )
 
-    def _some_remember(self) -> bool:
+    def _any_peer_has_cluster(self) -> bool:
         return any(remote.cluster_id for remote in self._links.remotes.values())
 
-    def _found(self) -> None:
+    def _bootstrap(self) -> None:
         members = []
         for name in sorted(self._founders):
-            where = self._founders[name]
+            endpoint = self._founders[name]
             is_self = name == self._name
             member_id = self._storage.member_id if is_self else self._links.remotes[name].member_id
-            members.append(Member(member_id, name, where.address, where.port))
+            members.append(Member(member_id, name, endpoint.address, endpoint.port))
         membership = Membership(tuple(members))
-        entry = LogEntry(1, FOUNDING_TERM, EntryKind.MEMBERSHIP, b"", membership)
+        entry = LogEntry(1, BOOTSTRAP_TERM, EntryKind.MEMBERSHIP, b"", membership)
         cluster_id = os.urandom(_CLUSTER_ID_BYTES).hex()
-        self._storage.found(cluster_id, HardState(FOUNDING_TERM, ""), entry)
+        self._storage.found(cluster_id, HardState(BOOTSTRAP_TERM, ""), entry)
         log_event(LogEvent.LOG_FOUNDED, cluster=cluster_id, members=list(self._founders))
--- a/src/alderhatch/control/_log_driver.py
+++ b/src/alderhatch/control/_log_driver.py
@@ -1,4 +1,4 @@
-"""Carries out what the state machine of the replicated log wants done."""
+"""Drives a ``RaftNode``: feeds it events and carries out the effects that it returns."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 from ..log_events import LogEvent
 from ..storage.data_folder import DataFolder
 from ._log_links import LogLinks, PeerAddress
-from ._log_waiters import RefusedError, Waiters, failed
-from ._log_writer import LogWriter, SaveState
+from ._log_writer import LogWriter, SaveSnapshot
+from ._pending_requests import PendingRequests, RefusedError, request_error
 from .log_node_config import LogNodeConfig
 from .replicated_log import LogStatus, StateMachine, SyncStats
 
 RoleCallback: TypeAlias = Callable[[Role, int, str | None], None]
-"""Takes the role, the term and the leader's host name."""
+"""Called with the role, the term and the leader's host name."""
 
 
 class LogDriver:
-    """One ``RaftNode`` with the clock, the disk, the links and the state machine round it."""
+    """Connects one ``RaftNode`` to the clock, the disk, the links and the state machine."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         state_machine: StateMachine,
         cfg: LogNodeConfig,
         links: LogLinks,
-        waiters: Waiters,
+        pending_requests: PendingRequests,
         random: Random,
         on_role: RoleCallback | None,
         silent_since: float | None = None,
@@ -66,16 +66,16 @@
         self._state_machine = state_machine
         self._cfg = cfg
         self._links = links
-        self._waiters = waiters
+        self._pending = pending_requests
         self._random = random
         self._on_role = on_role
         self._silent_since = silent_since
         self._clock = LoopClock()
         self._writer = LogWriter(storage, cfg.sync_in_thread, self.step)
-        self._woken = trio.Event()
-        self._sleeps_until = NEVER
+        self._wake_event = trio.Event()
+        self._wake_time = NEVER
         self.node = self._new_node(HardState(), RaftLog(None, ()), 0.0)
-        """The state machine of the log."""
+        """The Raft algorithm, without input and output."""
 
     def _new_node(self, hard_state: HardState, log: RaftLog, now: float) -> RaftNode:
         member_id = self._storage.member_id
@@ -83,13 +83,12 @@
             member_id, self._cfg.raft, self._random, hard_state, log, now, self._silent_since
         )
 
-    # Life
+    # Life cycle
 
     def start(self) -> None:
-        """Begin, or begin anew after the founding, with what is on disk.
+        """Start from the data on disk; called again after the log has been bootstrapped.
 
-        A folder that is in no cluster takes no part: what it holds, if anything, is a founding
-        that was interrupted.
+        Data in a folder without a cluster ID is ignored: it comes from an interrupted bootstrap.
         """
         storage = self._storage
         if storage.cut_bytes:
@@ -100,11 +99,11 @@
         if log.snapshot is not None:
             self._restore(log.snapshot)
         self.node = self._new_node(hard_state, log, self._clock.now())
-        self._know_members(self.node.membership)
+        self._add_peers(self.node.membership)
         self._wake()
 
     async def run(self) -> None:
-        """Keep time and write until cancelled."""
+        """Write to disk and send a ``Tick`` whenever one is due, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._writer.run)
             while True:
@@ -113,28 +112,28 @@
                     self.step(Tick())
 
     async def _sleep(self) -> None:
-        self._woken = trio.Event()
-        self._sleeps_until = self.node.next_tick_at
-        span = max(self._sleeps_until - self._clock.now(), 0.0)
-        with trio.move_on_after(span / SECOND):
-            await self._woken.wait()
+        self._wake_event = trio.Event()
+        self._wake_time = self.node.next_tick_at
+        delay = max(self._wake_time - self._clock.now(), 0.0)
+        with trio.move_on_after(delay / SECOND):
+            await self._wake_event.wait()
 
     def _wake(self) -> None:
-        if self.node.next_tick_at < self._sleeps_until:
-            self._woken.set()
+        if self.node.next_tick_at < self._wake_time:
+            self._wake_event.set()
 
     # Events
 
     def receive(self, sender: str, message: object) -> None:
-        """Take a message from a member of this cluster."""
+        """Process a message from a member of this cluster."""
         self.step(Received(sender, cast(Message, message)))
 
-    def connected(self, member_id: str) -> None:
-        """Note that a link to a member is open."""
+    def on_connected(self, member_id: str) -> None:
+        """Report to the Raft node that a link to a member is open."""
         self.step(PeerConnected(member_id))
 
     def join(self, cluster_id: str) -> bool:
-        """Return whether this host is in that cluster; one that is in none joins it."""
+        """Return whether this host belongs to a cluster; a host without a cluster joins it."""
         storage = self._storage
         if storage.cluster_id:
             return storage.cluster_id == cluster_id
@@ -144,22 +143,22 @@
             self.step(StorageFailed(str(exc)))
             return False
         log_event(LogEvent.LOG_JOINED, cluster=cluster_id, member=storage.member_id)
-        self._links.greet_all()
+        self._links.send_hellos()
         return True
 
     def step(self, event: Event) -> None:
-        """Take in an event and carry out what follows from it."""
+        """Process an event and carry out the resulting effects."""
         if isinstance(event, StorageFailed) and self.node.failure is None:
             log_event(LogEvent.LOG_STORAGE_FAILED, why=event.reason)
         for effect in self.node.step(event, self._clock.now()):
-            self._carry_out(effect)
+            self._execute(effect)
         if isinstance(event, StorageFailed):
-            self._waiters.fail_all(ErrorKind.STORAGE_FAILED, event.reason)
+            self._pending.fail_all(ErrorKind.STORAGE_FAILED, event.reason)
         self._wake()
 
     # Effects
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Send(to, message):
                 self._links.send(to, message)
@@ -168,22 +167,22 @@
             case Persist() | StoreChunk() | InstallSnapshot():
                 self._writer.add(effect)
             case TakeSnapshot():
-                self._writer.add(SaveState(effect, self._state_machine.snapshot()))
+                self._writer.add(SaveSnapshot(effect, self._state_machine.snapshot()))
             case Apply(entries):
                 for entry in entries:
                     self._apply(entry)
             case RestoreState(snapshot):
                 self._restore(snapshot)
             case Proposed(tag, index, term):
-                self._waiters.place(tag, index, term)
+                self._pending.record_entry(tag, index, term)
             case Refused(tag, refusal, message):
-                self._waiters.fail(tag, RefusedError(refusal, message))
+                self._pending.fail(tag, RefusedError(refusal, message))
             case ReadReady(tag, index):
-                self._waiters.resolve(tag, index)
+                self._pending.resolve(tag, index)
             case RoleChanged(role, term, leader):
-                self._role_changed(role, term, leader)
+                self._on_role_changed(role, term, leader)
             case MembershipChanged(membership):
-                self._know_members(membership)
+                self._add_peers(membership)
 
     def _send_chunk(self, effect: SendChunk) -> None:
         snapshot = effect.snapshot
@@ -200,26 +199,26 @@
         result: object = None
         if entry.kind is EntryKind.COMMAND:
             result = self._state_machine.apply(entry.index, entry.command)
-        self._waiters.applied(entry.index, entry.term, result)
+        self._pending.on_applied(entry.index, entry.term, result)
 
     def _restore(self, snapshot: SnapshotMeta) -> None:
         state = self._storage.read_snapshot(snapshot)
         if state is None:
-            raise RuntimeError(f"the snapshot at {snapshot.index} is not on disk")
+            raise RuntimeError(f"no snapshot with last index {snapshot.index} on disk")
         self._state_machine.restore(state)
         log_event(LogEvent.LOG_STATE_RESTORED, index=snapshot.index, bytes=snapshot.size)
 
-    def _role_changed(self, role: Role, term: int, leader: str | None) -> None:
+    def _on_role_changed(self, role: Role, term: int, leader: str | None) -> None:
         if role is not Role.LEADER:
-            self._waiters.lose_leadership()
+            self._pending.on_leadership_lost()
         name = self._host_name(leader)
         log_event(LogEvent.LOG_ROLE_CHANGED, role=role, term=term, leader=name)
         if self._on_role is not None:
             self._on_role(role, term, name)
 
-    def _know_members(self, membership: Membership) -> None:
+    def _add_peers(self, membership: Membership) -> None:
         for member in membership.members:
-            self._links.know(PeerAddress(member.name, member.address, member.port))
+            self._links.add_peer(PeerAddress(member.name, member.address, member.port))
 
     def _host_name(self, member_id: str | None) -> str | None:
         if member_id is None:
@@ -228,20 +227,20 @@
         return member.name if member else member_id.rpartition(".")[0]
 
     def check_usable(self) -> None:
-        """Refuse a request if this host's disk failed.
+        """Raise an error if this host's disk has failed.
 
         Raises:
-            AlderhatchError: With kind ``storage_failed``.
+            AlderhatchError: ``storage_failed`` if the disk has failed.
         """
         if self.node.failure is not None:
-            raise failed(ErrorKind.STORAGE_FAILED, self.node.failure)
+            raise request_error(ErrorKind.STORAGE_FAILED, self.node.failure)
 
     def sync_stats(self) -> SyncStats:
-        """Return how the journal was synced so far."""
-        return self._writer.syncs
+        """Return how many times the journal was synced, and the total time that took."""
+        return self._writer.stats
 
     def status(self) -> LogStatus:
-        """Return what this host knows of the log now."""
+        """Return the state of the log as this host currently sees it."""
         node = self.node
         snapshot = node.log.snapshot
         return LogStatus(
@@ -253,7 +252,7 @@
             commit_index=node.commit_index,
             applied_index=node.applied_index,
             snapshot_index=snapshot.index if snapshot else 0,
-            voters=tuple(one.name for one in node.membership.voters),
-            learners=tuple(one.name for one in node.membership.learners),
+            voters=tuple(voter.name for voter in node.membership.voters),
+            learners=tuple(learner.name for learner in node.membership.learners),
             storage_failure=node.failure,
         )
--- a/src/alderhatch/control/_log_links.py
+++ b/src/alderhatch/control/_log_links.py
@@ -1,7 +1,7 @@
-"""The links between control hosts, as one host sees them.
+"""The links of one control host to the other control hosts.
 
-Each host dials every other one. Questions go out over the link that was dialled, and answers come
-back over the same link, so that whoever asked notices when a link has gone silent.
+Each host dials every other host. Requests are sent over the dialled link, and replies come back
+over the same link, so that the sender of a request detects a link that no longer delivers.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 PEER_ROLE = "control"
 _QUEUE_LENGTH = 512
-_SILENT_PROBES = 5
-"""An accepted link is closed after so many intervals without even a probe."""
+_MAX_MISSED_PROBES = 5
+"""Probe intervals without any message after which an accepted link is closed."""
 
 
 class PeerAddress(NamedTuple):
@@ -36,67 +36,67 @@
 
 
 class LinkHandlers(NamedTuple):
-    """What the links call when something happens."""
+    """Callbacks of ``LogLinks``."""
 
     on_message: Callable[[str, Message], None]
-    """A message of a member of the same cluster."""
+    """Called with the sender's member ID and a message from a member of the same cluster."""
     on_connected: Callable[[str], None]
-    """A link to a member was opened."""
+    """Called with the member ID when a link to a member was opened."""
     join: Callable[[str], bool]
-    """Asks whether this host is in a cluster, or joins it now if it is in none."""
+    """Returns whether this host belongs to a cluster; a host without a cluster joins it."""
 
 
 class Outbox:
-    """Messages that wait to be sent over one link.
+    """A bounded queue of messages to be sent over one link.
 
-    A link whose other end doesn't read must not use up this host's memory; what doesn't fit is
-    dropped, and the log sends it again.
+    The bound keeps a peer that doesn't read from using up this host's memory. Messages that don't
+    fit are dropped; Raft sends them again.
     """
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        """The link that the messages go over."""
+        """The link over which the messages are sent."""
         self._send, self._receive = trio.open_memory_channel[tuple[Any, ...]](_QUEUE_LENGTH)
 
     def put(self, message: tuple[Any, ...]) -> None:
-        """Add a message, or drop it if there are too many."""
+        """Add a message; it is dropped if the queue is full."""
         try:
             self._send.send_nowait(message)
         except trio.WouldBlock:
             return
 
     async def get(self) -> tuple[Any, ...]:
-        """Wait for the next message."""
+        """Remove and return the next message; waits for one if the queue is empty."""
         return await self._receive.receive()
 
 
-class Remote:
-    """One peer and the link that this host dialled to it."""
+class RemotePeer:
+    """A peer and the link that this host dials to it."""
 
-    def __init__(self, where: PeerAddress) -> None:
-        self.where = where
+    def __init__(self, endpoint: PeerAddress) -> None:
+        self.endpoint = endpoint
         self.member_id = ""
-        """Who was met there last."""
+        """The member ID that the peer last reported; empty if none yet."""
         self.cluster_id: str | None = None
-        """Its cluster as of the last answer; None if it was never reached."""
+        """The cluster ID that the peer last reported; empty if none, None if never reached."""
         self.outbox: Outbox | None = None
-        """Takes messages while the link is open."""
+        """Queue of the open link; None while there is no link to a member of this cluster."""
         self.scope = trio.CancelScope()
-        self.unanswered_since: Millis | None = None
+        self.awaiting_reply_since: Millis | None = None
 
 
 class LogLinks:
-    """Dials the peers, sends, and hands over what comes in."""
+    """Keeps the links to the peers, sends messages and passes received ones to the handlers."""
 
     def __init__(
         self,
-        me: Peer,
+        own_peer: Peer,
         secret: bytes,
         cfg: LogNodeConfig,
         hello: Callable[[], PeerHello],
         handlers: LinkHandlers,
     ) -> None:
-        self._me = me
+        self._own_peer = own_peer
         self._secret = secret
         self._cfg = cfg
         self._hello = hello
@@ -105,46 +105,46 @@
         self._clock = LoopClock()
         self._nursery: trio.Nursery | None = None
         self._accepted: dict[str, Outbox] = {}
-        self._told_foreign: set[str] = set()
-        self.remotes: dict[str, Remote] = {}
-        """The peers by their hosts' names."""
+        self._reported_foreign: set[str] = set()
+        self.remotes: dict[str, RemotePeer] = {}
+        """The peers by host name."""
         self.changed = trio.Event()
-        """Set, and replaced, when a peer was reached."""
+        """Set and replaced by a new event when a peer is reached or reports other IDs."""
 
-    # Who is there
+    # Peers
 
-    def know(self, where: PeerAddress) -> None:
-        """Dial a peer from now on; a known one that has moved is dialled at its new address."""
-        if where.name == self._me.name:
+    def add_peer(self, endpoint: PeerAddress) -> None:
+        """Start dialling a peer; a known peer with a new address is dialled there instead."""
+        if endpoint.name == self._own_peer.name:
             return
-        known = self.remotes.get(where.name)
-        if known is not None and known.where == where:
+        existing = self.remotes.get(endpoint.name)
+        if existing is not None and existing.endpoint == endpoint:
             return
-        if known is not None:
-            known.scope.cancel()
-        remote = Remote(where)
-        self.remotes[where.name] = remote
+        if existing is not None:
+            existing.scope.cancel()
+        remote = RemotePeer(endpoint)
+        self.remotes[endpoint.name] = remote
         if self._nursery is not None:
-            self._nursery.start_soon(self._keep_dialling, remote)
+            self._nursery.start_soon(self._maintain_link, remote)
 
-    def forget(self, name: str) -> None:
-        """Dial a peer no more."""
+    def remove_peer(self, name: str) -> None:
+        """Close the link to a peer and stop dialling it."""
         remote = self.remotes.pop(name, None)
         if remote is not None:
             remote.scope.cancel()
 
     async def run(self) -> None:
-        """Keep a link to every peer until cancelled."""
+        """Maintain a link to every peer until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for remote in self.remotes.values():
-                nursery.start_soon(self._keep_dialling, remote)
+                nursery.start_soon(self._maintain_link, remote)
             await trio.sleep_forever()
 
     # Sending
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message to a member, or drop it if there is no link."""
+        """Send a message to a member; it is dropped if there is no link."""
         if isinstance(message, REPLY_TYPES):
             outbox = self._accepted.get(to)
             if outbox is not None:
@@ -154,12 +154,13 @@
             if remote.member_id == to and remote.outbox is not None:
                 remote.outbox.put(message)
 
-    def greet_all(self) -> None:
-        """Tell every peer anew who this host is, because it has joined a cluster.
+    def send_hellos(self) -> None:
+        """Send this host's IDs to every peer, after it has joined a cluster.
 
-        A peer takes no questions over a link whose other end is in no cluster as far as it knows.
-        Without this, a host that was just founded could neither be elected nor take over before
-        its next probe; a hand-over in the first second ended in a second without a leader.
+        A peer ignores requests from a sender that, by its last hello, belongs to no cluster.
+        Without a new hello, a host could be elected or take over the leadership only after its
+        next probe: a leadership transfer in the first second would leave the log without a leader
+        for about a second.
         """
         for remote in self.remotes.values():
             if remote.outbox is not None:
@@ -167,50 +168,50 @@
 
     # Dialled links
 
-    async def _keep_dialling(self, remote: Remote) -> None:
+    async def _maintain_link(self, remote: RemotePeer) -> None:
         pause = self._cfg.redial
         with remote.scope:
             while True:
                 try:
-                    await self._use_dialled(remote)
+                    await self._run_dialled(remote)
                 except LinkClosedError:
                     pass
                 finally:
-                    was_open = remote.outbox is not None
+                    was_connected = remote.outbox is not None
                     remote.outbox = None
-                pause = self._cfg.redial if was_open else min(2 * pause, self._cfg.max_redial)
+                pause = self._cfg.redial if was_connected else min(2 * pause, self._cfg.max_redial)
                 await trio.sleep(pause / SECOND)
 
-    async def _use_dialled(self, remote: Remote) -> None:
-        where = remote.where
+    async def _run_dialled(self, remote: RemotePeer) -> None:
+        endpoint = remote.endpoint
         async with open_link(
-            where.address, where.port, self._codec, self._secret, self._me
+            endpoint.address, endpoint.port, self._codec, self._secret, self._own_peer
         ) as link:
-            if link.peer != Peer(where.name, PEER_ROLE):
-                log_event(LogEvent.LOG_PEER_REFUSED, peer=link.peer.name, expected=where.name)
+            if link.peer != Peer(endpoint.name, PEER_ROLE):
+                log_event(LogEvent.LOG_PEER_REFUSED, peer=link.peer.name, expected=endpoint.name)
                 return
-            remote.unanswered_since = None
+            remote.awaiting_reply_since = None
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._watch, remote, nursery.cancel_scope)
+                nursery.start_soon(self._close_when_silent, remote, nursery.cancel_scope)
                 nursery.start_soon(self._probe, remote, link)
                 await self._read_dialled(remote, link, nursery)
 
-    async def _read_dialled(self, remote: Remote, link: Link, nursery: trio.Nursery) -> None:
+    async def _read_dialled(self, remote: RemotePeer, link: Link, nursery: trio.Nursery) -> None:
         try:
             while True:
                 message = await link.receive()
-                remote.unanswered_since = None
+                remote.awaiting_reply_since = None
                 if isinstance(message, PeerHelloReply):
-                    self._met(remote, message, link, nursery)
+                    self._on_hello_reply(remote, message, link, nursery)
                 elif remote.member_id and isinstance(message, REPLY_TYPES):
                     self._handlers.on_message(remote.member_id, message)
         except LinkClosedError:
             nursery.cancel_scope.cancel()
 
-    def _met(
-        self, remote: Remote, reply: PeerHelloReply, link: Link, nursery: trio.Nursery
+    def _on_hello_reply(
+        self, remote: RemotePeer, reply: PeerHelloReply, link: Link, nursery: trio.Nursery
     ) -> None:
-        is_news = (remote.member_id, remote.cluster_id) != (reply.member_id, reply.cluster_id)
+        is_changed = (remote.member_id, remote.cluster_id) != (reply.member_id, reply.cluster_id)
         remote.member_id = reply.member_id
         remote.cluster_id = reply.cluster_id
         if self._is_foreign(reply.cluster_id, link):
@@ -219,39 +220,39 @@
             remote.outbox = Outbox(link)
             nursery.start_soon(self._send_dialled, remote, remote.outbox)
             self._handlers.on_connected(reply.member_id)
-        elif not is_news:
+        elif not is_changed:
             return
         self.changed.set()
         self.changed = trio.Event()
 
-    async def _send_dialled(self, remote: Remote, outbox: Outbox) -> None:
+    async def _send_dialled(self, remote: RemotePeer, outbox: Outbox) -> None:
         while True:
             message = await outbox.get()
             if not isinstance(message, TimeoutNow):
-                self._expect_answer(remote)
+                self._expect_reply(remote)
             if not await self._send(outbox.link, message):
                 return
 
-    async def _probe(self, remote: Remote, link: Link) -> None:
+    async def _probe(self, remote: RemotePeer, link: Link) -> None:
         while True:
-            self._expect_answer(remote)
+            self._expect_reply(remote)
             if not await self._send(link, self._hello()):
                 return
             await trio.sleep(self._cfg.probe / SECOND)
 
-    def _expect_answer(self, remote: Remote) -> None:
-        if remote.unanswered_since is None:
-            remote.unanswered_since = self._clock.now()
+    def _expect_reply(self, remote: RemotePeer) -> None:
+        if remote.awaiting_reply_since is None:
+            remote.awaiting_reply_since = self._clock.now()
 
-    async def _watch(self, remote: Remote, scope: trio.CancelScope) -> None:
-        # Something between the hosts may have lost track of the connection: nothing arrives, and
-        # neither end gets an error. The peer would look dead for as long as the kernel keeps
-        # trying, although a new connection works at once.
+    async def _close_when_silent(self, remote: RemotePeer, scope: trio.CancelScope) -> None:
+        # A device between the hosts may have dropped its connection state: packets are lost and
+        # neither end gets an error. The peer would seem to be down until the kernel gives up,
+        # although a new connection would work at once.
         while True:
             await trio.sleep(self._cfg.silence / 4 / SECOND)
-            since = remote.unanswered_since
+            since = remote.awaiting_reply_since
             if since is not None and self._clock.now() - since >= self._cfg.silence:
-                log_event(LogEvent.LOG_LINK_SILENT, peer=remote.where.name)
+                log_event(LogEvent.LOG_LINK_SILENT, peer=remote.endpoint.name)
                 scope.cancel()
                 return
 
@@ -265,7 +266,7 @@
     # Accepted links
 
     async def serve(self, link: Link) -> None:
-        """Answer a peer over the link that it dialled, until the link is gone."""
+        """Serve a link that a peer has dialled until it closes."""
         outbox = Outbox(link)
         sender = cluster_id = ""
         async with trio.open_nursery() as nursery:
@@ -276,14 +277,14 @@
                     break
                 if isinstance(message, PeerHello):
                     sender, cluster_id = message.member_id, message.cluster_id
-                    self._greet(message, outbox)
-                elif cluster_id and self._is_question(message) and self._handlers.join(cluster_id):
+                    self._on_hello(message, outbox)
+                elif cluster_id and self._is_request(message) and self._handlers.join(cluster_id):
                     self._handlers.on_message(sender, message)
             nursery.cancel_scope.cancel()
         if self._accepted.get(sender) is outbox:
             del self._accepted[sender]
 
-    def _greet(self, hello: PeerHello, outbox: Outbox) -> None:
+    def _on_hello(self, hello: PeerHello, outbox: Outbox) -> None:
         own = self._hello()
         self._accepted[hello.member_id] = outbox
         outbox.put(PeerHelloReply(own.member_id, own.cluster_id))
@@ -293,8 +294,8 @@
         own = self._hello().cluster_id
         if "" in (cluster_id, own) or cluster_id == own:
             return False
-        if link.peer.name not in self._told_foreign:
-            self._told_foreign.add(link.peer.name)
+        if link.peer.name not in self._reported_foreign:
+            self._reported_foreign.add(link.peer.name)
             log_event(
                 LogEvent.LOG_PEER_REFUSED,
                 peer=link.peer.name,
@@ -303,11 +304,11 @@
             )
         return True
 
-    def _is_question(self, message: Any) -> bool:
+    def _is_request(self, message: Any) -> bool:
         return not isinstance(message, (PeerHelloReply, *REPLY_TYPES))
 
     async def _receive_accepted(self, link: Link) -> Any:
-        with trio.move_on_after(_SILENT_PROBES * self._cfg.probe / SECOND):
+        with trio.move_on_after(_MAX_MISSED_PROBES * self._cfg.probe / SECOND):
             try:
                 return await link.receive()
             except LinkClosedError:
--- a/src/alderhatch/control/_log_writer.py
+++ b/src/alderhatch/control/_log_writer.py
@@ -1,4 +1,4 @@
-"""The one task of a host that writes to its data folder."""
+"""The task that does all writes to a host's data folder."""
 
 from __future__ import annotations
 
@@ -23,59 +23,59 @@
 from .replicated_log import SyncStats
 
 MAX_GROUP_BYTES = 4 * 1024 * 1024
-"""Writes are put on disk together up to this size."""
+"""Size up to which waiting writes share one sync."""
 
 _T = TypeVar("_T")
 
 
 @dataclass(frozen=True, slots=True)
-class SaveState:
-    """A snapshot to write, with the state as it was at its index."""
+class SaveSnapshot:
+    """A request to save a snapshot, with the state at the snapshot's index."""
 
     request: TakeSnapshot
     state: bytes
 
 
-Write: TypeAlias = Persist | SaveState | StoreChunk | InstallSnapshot
+Write: TypeAlias = Persist | SaveSnapshot | StoreChunk | InstallSnapshot
 
 
 class LogWriter:
-    """Writes in the order asked for; all that waits goes to disk with one sync."""
+    """Writes to disk in the order of the requests; waiting journal writes share one sync."""
 
     def __init__(
         self, folder: DataFolder, in_thread: bool, on_event: Callable[[Event], None]
     ) -> None:
-        """Use a data folder.
+        """Create a writer for a data folder.
 
         Args:
-            folder: Where to write; nobody else writes there.
-            in_thread: Whether a worker thread waits for the disk.
-            on_event: Told what is on disk, or that the disk failed.
+            folder: The data folder; nothing else may write to it.
+            in_thread: Whether to wait for the disk in a worker thread.
+            on_event: Called when a write is on disk or the disk has failed.
         """
         self._folder = folder
         self._in_thread = in_thread
         self._on_event = on_event
         self._queue: deque[Write] = deque()
-        self._wanted = trio.Event()
+        self._work_available = trio.Event()
         self._read_error: OSError | None = None
         self._clock = LoopClock()
-        self.syncs = SyncStats(0, 0.0)
+        self.stats = SyncStats(0, 0.0)
 
     def add(self, write: Write) -> None:
-        """Ask for a write."""
+        """Queue a write."""
         self._queue.append(write)
-        self._wanted.set()
+        self._work_available.set()
 
     def fail(self, error: OSError) -> None:
-        """Write nothing more, because the disk failed in reading."""
+        """Stop writing, because a read from the disk has failed."""
         self._read_error = error
-        self._wanted.set()
+        self._work_available.set()
 
     async def run(self) -> None:
-        """Write until cancelled, or until the disk fails."""
+        """Write until cancelled or until the disk fails."""
         while True:
-            await self._wanted.wait()
-            # Whoever is ready to run may add to the group that shares the next sync.
+            await self._work_available.wait()
+            # Let other runnable tasks add writes that share the next sync.
             await trio.lowlevel.checkpoint()
             try:
                 while self._queue:
@@ -86,28 +86,30 @@
                 self._queue.clear()
                 self._on_event(StorageFailed(str(exc)))
                 return
-            self._wanted = trio.Event()
+            self._work_available = trio.Event()
 
     async def _write_next(self) -> None:
         match self._queue[0]:
             case Persist():
                 await self._write_group()
-            case SaveState(request, state):
+            case SaveSnapshot(request, state):
                 self._queue.popleft()
                 folder = self._folder
                 index, term, members = request.index, request.term, request.membership
-                meta = await self._call(lambda: folder.save_snapshot(index, term, members, state))
+                meta = await self._run_write(
+                    lambda: folder.save_snapshot(index, term, members, state)
+                )
                 self._on_event(SnapshotSaved(meta))
             case StoreChunk(_, offset, data):
                 self._queue.popleft()
                 self._folder.store_chunk(offset, data)
             case InstallSnapshot(snapshot):
                 self._queue.popleft()
-                whole = await self._call(lambda: self._folder.install_snapshot(snapshot))
-                event = SnapshotInstalled(snapshot) if whole else SnapshotCorrupted(snapshot)
+                is_intact = await self._run_write(lambda: self._folder.install_snapshot(snapshot))
+                event = SnapshotInstalled(snapshot) if is_intact else SnapshotCorrupted(snapshot)
                 self._on_event(event)
-            case other:
-                assert_never(other)
+            case unknown_write:
+                assert_never(unknown_write)
 
     async def _write_group(self) -> None:
         group: list[Persist] = []
@@ -119,13 +121,15 @@
             self._queue.popleft()
             group.append(first)
             size += sum(entry.size for entry in first.entries)
-        writes = [LogWrite(one.hard_state, one.entries) for one in group]
-        began = self._clock.now()
-        await self._call(lambda: self._folder.write(*writes))
-        self.syncs = SyncStats(self.syncs.number + 1, self.syncs.spent + self._clock.now() - began)
+        writes = [LogWrite(persist.hard_state, persist.entries) for persist in group]
+        started = self._clock.now()
+        await self._run_write(lambda: self._folder.write(*writes))
+        self.stats = SyncStats(
+            self.stats.number + 1, self.stats.spent + self._clock.now() - started
+        )
         self._on_event(Persisted(group[-1].number))
 
-    async def _call(self, write: Callable[[], _T]) -> _T:
+    async def _run_write(self, write: Callable[[], _T]) -> _T:
         if self._in_thread:
             return await trio.to_thread.run_sync(write)
         await trio.lowlevel.checkpoint()
--- a/src/alderhatch/control/_member_plan.py
+++ b/src/alderhatch/control/_member_reconciler.py
@@ -1,4 +1,4 @@
-"""Brings the members of the log in line with what operators have declared."""
+"""Brings the members of the log in line with the control hosts that operators have declared."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 def next_step(
     controls: dict[str, ControlRecord], status: LogStatus, caught_up: frozenset[str]
 ) -> MembershipStep | None:
-    """Return the one thing to do next, or None if the members are as declared.
+    """Return the next membership change, or None if there is nothing to do now.
 
-    A replacement gets its vote before the host that it replaces loses its own: the other way
-    round, the loss of one more host in between could take the quorum.
+    A replacement is promoted before the host that it replaces is removed: in the opposite order,
+    the loss of one more host in between could cost the quorum.
 
     Args:
-        controls: The control hosts as declared.
-        status: The log's members.
-        caught_up: The learners that have nearly all of the log.
+        controls: The declared control hosts by name.
+        status: This host's view of the log, with its members.
+        caught_up: The learners that respond and have nearly all of the log.
     """
     members = {*status.voters, *status.learners}
     for record in controls.values():
-        replacing = record.joins_for != "" and record.mark == ""
-        if replacing and record.name not in members:
+        is_replacement = record.joins_for != "" and record.mark == ""
+        if is_replacement and record.name not in members:
             return AddMember(record.name, record.address, record.port)
-        if replacing and record.name in status.learners:
+        if is_replacement and record.name in status.learners:
             return PromoteMember(record.name) if record.name in caught_up else None
     for record in controls.values():
-        leaves = record.mark in ("departing", "replaced")
-        if leaves and record.name in members and record.name != status.host:
+        is_leaving = record.mark in ("departing", "replaced")
+        if is_leaving and record.name in members and record.name != status.host:
             return RemoveMember(record.name)
     own = controls.get(status.host)
     if own is not None and own.mark != "" and len(status.voters) > 1:
@@ -52,15 +52,15 @@
     return None
 
 
-class MemberSteps:
-    """Takes one step at a time while this host leads."""
+class MemberReconciler:
+    """Changes the members one step at a time while this host is the leader."""
 
     def __init__(self, log: ControlLog, observed: ObservedState) -> None:
         self._log = log
         self._observed = observed
 
     async def run(self) -> None:
-        """Take steps until cancelled."""
+        """Execute steps until cancelled."""
         while True:
             step = self._next()
             failed = step is not None and not await execute_step(self._log, step)
--- a/src/alderhatch/control/control_log.py
+++ b/src/alderhatch/control/control_log.py
@@ -1,4 +1,4 @@
-"""The replicated log with what the control process needs besides proposals and reads."""
+"""The interface of the replicated log for the control process: leases and membership."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 
 
 class ControlLog(ReplicatedLog, Protocol):
-    """A replicated log whose leader knows that it leads, and whose members can change."""
+    """A replicated log with leader leases and membership changes."""
 
     def holds_lease(self) -> bool:
-        """Return whether this host certainly is the only leader at this moment."""
+        """Return whether this host holds the leader lease, so that no other host can be leader."""
 
     def responsive_members(self) -> frozenset[str]:
-        """Return the members that this leader has heard from lately; empty if it is none."""
+        """Return the members that replied to this leader lately; empty if it is not the leader."""
 
     def caught_up(self, name: str) -> bool:
-        """Return whether this leader's member has nearly all of the log."""
+        """Return whether a member responds and has nearly all of the log; False on a follower."""
 
     async def add_learner(self, name: str, address: str, port: int) -> None:
-        """Let a new member receive the log without a vote.
+        """Add a member that receives the log but has no vote.
 
         Raises:
-            AlderhatchError: If this host does not lead or the change can't be made now.
+            AlderhatchError: If this host is not the leader or the change can't be made now.
         """
 
     async def promote(self, name: str, in_place_of: str = "") -> None:
-        """Give a learner its vote; raises as ``add_learner``.
+        """Make a learner a voter; raises as ``add_learner``.
 
         Args:
             name: The learner.
-            in_place_of: A voter that is lost, if the learner replaces one; it is removed first.
+            in_place_of: The lost voter that the learner replaces, if any; it is removed first.
         """
 
     async def remove_member(self, name: str) -> None:
-        """Take out a member; raises as ``add_learner``."""
+        """Remove a member; raises as ``add_learner``."""
 
     async def transfer_leadership(self) -> None:
-        """Hand the leadership to the voter that is furthest; raises as ``add_learner``."""
+        """Transfer leadership to the most up-to-date voter; raises as ``add_learner``."""
 
     async def serve_peer(self, link: Link) -> None:
-        """Exchange the log's messages with another member until the link closes."""
+        """Serve a link that another control host has opened, until it closes."""
--- a/src/alderhatch/control/leader_link.py
+++ b/src/alderhatch/control/leader_link.py
@@ -1,4 +1,4 @@
-"""What a host that does not lead passes on to the one that does."""
+"""The link over which a control host relays requests to the leader."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 from ..link import Link, LinkClosedError, Peer, open_link
 from ..signal import Signal
 
-LOOK_INTERVAL: Millis = 250.0
-"""How often a new leader is looked for if nothing tells of one."""
+LEADER_CHECK_INTERVAL: Millis = 250.0
+"""Longest time between two checks for a new leader if no role change is notified."""
 REDIAL_INTERVAL: Millis = 20.0
-GATHER: Millis = 10.0
-"""How long renewals are gathered before they are passed on together."""
+RENEWAL_BATCH_DELAY: Millis = 10.0
+"""How long renewals are collected before they are relayed in one batch."""
 ANSWER_TIMEOUT: Millis = 1500.0
-"""A link on which nothing is answered for this long is taken as dead."""
-MAX_BATCH = 512
-MAX_WAITING = 4096
+"""A link is closed if relayed renewals get no answer within this time."""
+MAX_BATCH_RENEWALS = 512
+MAX_WAITING_RENEWALS = 4096
 
 
 class LeaderAddress(NamedTuple):
-    """Where the leader accepts links."""
+    """The address on which the leader accepts links."""
 
     name: str
     address: str
@@ -44,7 +44,7 @@
 
 
 class GrantResult(NamedTuple):
-    """The leader's answer to one renewal."""
+    """The leader's answer to one relayed renewal."""
 
     term: int
     grant: Grant | None
@@ -57,10 +57,10 @@
 
 
 class LeaderLink:
-    """One link to the leader, opened again when it breaks or another host leads.
+    """A link to the leader, reopened when it breaks or another host becomes the leader.
 
-    Nothing is ever sent twice: a renewal that reached an old leader and is repeated to a new one
-    would give its word on the entry's share when that may no longer be true.
+    Nothing is sent twice: a renewal states the entry's connection share. If it reached an old
+    leader and were repeated to a new one, that statement might no longer be true.
     """
 
     def __init__(
@@ -71,63 +71,63 @@
         find_leader: Callable[[], LeaderAddress | None],
         role_changed: Signal,
     ) -> None:
-        """Prepare; ``run`` opens the link.
+        """Create the link; ``run`` opens it.
 
         Args:
             me: This host's name.
-            codec: The messages of the links.
-            secret: The secret shared by our own processes.
-            find_leader: Returns the leader, or None if none is known or this host leads.
-            role_changed: Notified when another host may lead.
+            codec: The codec of the link's messages.
+            secret: The secret that the project's processes share.
+            find_leader: Returns the leader, or None if it is unknown or this host.
+            role_changed: Notified when the leader may have changed.
         """
-        self._me = Peer(me, "relay")
+        self._own_peer = Peer(me, "relay")
         self._codec = codec
         self._secret = secret
         self._find_leader = find_leader
         self._role_changed = role_changed
         self._link: Link | None = None
         self._calls: dict[int, _Call] = {}
-        self._number = 0
+        self._last_number = 0
         self._renewals: list[tuple[Renewal, _Call]] = []
-        self._gathered = Signal()
+        self._renewals_added = Signal()
 
     async def run(self) -> None:
-        """Keep a link to whichever host leads, until cancelled."""
+        """Maintain a link to the current leader until cancelled."""
         while True:
             leader = self._find_leader()
             if leader is None:
-                await self._role_changed.wait_for(LOOK_INTERVAL)
+                await self._role_changed.wait_for(LEADER_CHECK_INTERVAL)
                 continue
-            await self._use(leader)
+            await self._run_link(leader)
             await trio.sleep(REDIAL_INTERVAL / SECOND)
 
     async def renew(self, renewal: Renewal) -> GrantResult:
-        """Pass on a renewal.
+        """Relay a renewal and return the leader's answer.
 
         Raises:
             AlderhatchError: ``no_leader`` if no leader answered.
         """
-        if self._link is None or len(self._renewals) >= MAX_WAITING:
-            raise _no_leader("no link to a leader")
+        if self._link is None or len(self._renewals) >= MAX_WAITING_RENEWALS:
+            raise _no_leader_error("no link to the leader, or too many renewals are waiting")
         call = _Call()
         self._renewals.append((renewal, call))
-        self._gathered.notify()
+        self._renewals_added.notify()
         await call.done.wait()
         if call.reply is None:
-            raise _no_leader("the leader did not answer")
-        granted: GrantResult = call.reply
-        return granted
+            raise _no_leader_error("the leader did not answer the renewal")
+        result: GrantResult = call.reply
+        return result
 
     async def operate(self, operations: list[bytes]) -> list[bytes]:
-        """Pass on operations for the log and return their encoded answers.
+        """Relay operations for the log and return their encoded answers.
 
         Raises:
-            AlderhatchError: ``no_leader`` if they were certainly not taken, ``change_unknown`` if
-                they may be, or what the leader refused them with.
+            AlderhatchError: ``no_leader`` if the operations will certainly not be committed,
+                ``change_unknown`` if they may or may not be, or the leader's own error.
         """
         link = self._link
         if link is None:
-            raise _no_leader("no link to a leader")
+            raise _no_leader_error("no link to the leader")
         call, number = self._new_call()
         try:
             await link.send(Operations(number, operations))
@@ -142,37 +142,37 @@
             case OperationsFailed(kind=kind, message=message):
                 raise AlderhatchError(Failure(ErrorKind(kind), message))
             case _:
-                message = "the link to the leader broke before the answer came"
+                message = "the link to the leader closed before the answer arrived"
                 raise AlderhatchError(Failure(ErrorKind.CHANGE_UNKNOWN, message))
 
     def _new_call(self) -> tuple[_Call, int]:
-        self._number += 1
+        self._last_number += 1
         call = _Call()
-        self._calls[self._number] = call
-        return call, self._number
+        self._calls[self._last_number] = call
+        return call, self._last_number
 
-    async def _use(self, leader: LeaderAddress) -> None:
+    async def _run_link(self, leader: LeaderAddress) -> None:
         try:
             async with open_link(
-                leader.address, leader.port, self._codec, self._secret, self._me
+                leader.address, leader.port, self._codec, self._secret, self._own_peer
             ) as link:
                 self._link = link
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._read, link, nursery.cancel_scope)
-                    nursery.start_soon(self._flush, link, nursery.cancel_scope)
-                    await self._stay_with(leader)
+                    nursery.start_soon(self._receive_replies, link, nursery.cancel_scope)
+                    nursery.start_soon(self._relay_renewals, link, nursery.cancel_scope)
+                    await self._wait_while_leader(leader)
                     nursery.cancel_scope.cancel()
         except LinkClosedError:
             return
         finally:
             self._link = None
-            self._drop_calls()
+            self._fail_calls()
 
-    async def _stay_with(self, leader: LeaderAddress) -> None:
+    async def _wait_while_leader(self, leader: LeaderAddress) -> None:
         while self._find_leader() == leader:
-            await self._role_changed.wait_for(LOOK_INTERVAL)
+            await self._role_changed.wait_for(LEADER_CHECK_INTERVAL)
 
-    def _drop_calls(self) -> None:
+    def _fail_calls(self) -> None:
         for _, call in self._renewals:
             call.done.set()
         self._renewals.clear()
@@ -180,7 +180,7 @@
             call.done.set()
         self._calls.clear()
 
-    async def _read(self, link: Link, scope: trio.CancelScope) -> None:
+    async def _receive_replies(self, link: Link, scope: trio.CancelScope) -> None:
         try:
             while True:
                 reply = await link.receive()
@@ -191,17 +191,17 @@
         except LinkClosedError:
             scope.cancel()
 
-    async def _flush(self, link: Link, scope: trio.CancelScope) -> None:
+    async def _relay_renewals(self, link: Link, scope: trio.CancelScope) -> None:
         async with trio.open_nursery() as nursery:
             while True:
                 while not self._renewals:
-                    await self._gathered.wait()
-                await trio.sleep(GATHER / SECOND)
-                batch = self._renewals[:MAX_BATCH]
-                del self._renewals[:MAX_BATCH]
-                nursery.start_soon(self._relay, link, batch, scope)
+                    await self._renewals_added.wait()
+                await trio.sleep(RENEWAL_BATCH_DELAY / SECOND)
+                batch = self._renewals[:MAX_BATCH_RENEWALS]
+                del self._renewals[:MAX_BATCH_RENEWALS]
+                nursery.start_soon(self._relay_batch, link, batch, scope)
 
-    async def _relay(
+    async def _relay_batch(
         self, link: Link, batch: list[tuple[Renewal, _Call]], scope: trio.CancelScope
     ) -> None:
         call, number = self._new_call()
@@ -210,23 +210,23 @@
                 await link.send(RelayedRenewals(number, [renewal for renewal, _ in batch]))
                 await call.done.wait()
             if not call.done.is_set():
-                # The connection can go silent for good although the leader is well. Kept open, it
-                # would cost every entry of this host its lease.
+                # A connection can stop delivering for good although the leader is up. If it were
+                # kept open, every entry that renews over this host would lose its lease.
                 scope.cancel()
         except LinkClosedError:
             scope.cancel()
         finally:
             self._calls.pop(number, None)
-            _hand_out(batch, call.reply)
+            _deliver_grants(batch, call.reply)
 
 
-def _hand_out(batch: list[tuple[Renewal, _Call]], reply: object) -> None:
+def _deliver_grants(batch: list[tuple[Renewal, _Call]], reply: object) -> None:
     grants: dict[tuple[str, int], Grant] = {}
     term = 0
     match reply:
         case RelayedGrants(term=term, grants=found) if len(found) == len(batch):
             pairs = zip(batch, found, strict=True)
-            grants = {(r.name, r.sequence): grant for (r, _), grant in pairs}
+            grants = {(relayed.name, relayed.sequence): grant for (relayed, _), grant in pairs}
         case RelayFailed() | _:
             pass
     for renewal, call in batch:
@@ -236,5 +236,5 @@
         call.done.set()
 
 
-def _no_leader(message: str) -> AlderhatchError:
+def _no_leader_error(message: str) -> AlderhatchError:
     return AlderhatchError(Failure(ErrorKind.NO_LEADER, message))
--- a/src/alderhatch/control/leadership.py
+++ b/src/alderhatch/control/leadership.py
@@ -1,4 +1,4 @@
-"""What a control host does while it leads: leases, removals, members, quarantines that end."""
+"""The duties of the leading control host: leases, removals, membership and quarantine ends."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 from ..log import log_event
 from ..log_events import LogEvent
 from ..signal import Signal
-from ._member_plan import MemberSteps
+from ._member_reconciler import MemberReconciler
 from .control_log import ControlLog
 from .control_time import ControlTime
 from .observed_state import ObservedState
 from .proposer import Proposer
 
-CHECK_INTERVAL: Millis = 100.0
-"""How often leases that run out are looked for."""
-HOUSE_INTERVAL: Millis = 1 * SECOND
+LEASE_CHECK_INTERVAL: Millis = 100.0
+"""Interval between checks for expired leases."""
+QUARANTINE_CHECK_INTERVAL: Millis = 1 * SECOND
 
 
 class LeadershipDependencies(NamedTuple):
-    """What a leadership works with."""
+    """The objects that a ``Leadership`` uses."""
 
     log: ControlLog
     observed: ObservedState
@@ -45,66 +45,68 @@
     time: ControlTime
 
 
-class InForce(NamedTuple):
-    """Whether a version is in force at every entry that may serve."""
+class InForceStatus(NamedTuple):
+    """Whether a version is in force on every entry that may serve."""
 
     in_force: bool
     waiting_for: list[str]
-    """Entries that may serve and have not confirmed it."""
+    """Entries that may serve and have not confirmed the version."""
 
 
 class Leadership:
-    """One host's time as leader in one term; its lease table dies with it."""
+    """One host's leadership in one term; its lease table is discarded at the end."""
 
-    def __init__(self, services: LeadershipDependencies, lease: Millis) -> None:
-        self._log, self._observed, self._proposer, self._clock, time = services
+    def __init__(self, dependencies: LeadershipDependencies, lease: Millis) -> None:
+        self._log, self._observed, self._proposer, self._clock, time = dependencies
         self.term = self._log.status().term
-        """The term in which this host leads."""
+        """The term of this leadership."""
         hosts = self._observed.state.hosts
         since_removal = None
         if hosts.last_removal is not None:
             since_removal = time.now() - hosts.last_removal
         now = self._clock.now()
         self._table = LeaseTable(lease, self._registered().values(), since_removal, now)
-        self._set_plan()
+        self._update_owner_plan()
         self._time = time
-        self._synced = self._observed.state.feed.version
-        self._renewed = Signal()
+        self._synced_version = self._observed.state.feed.version
+        self._renewal_received = Signal()
         self._registering: set[EntryKey] = set()
         self._scope: trio.CancelScope | None = None
 
     async def run(self) -> None:
-        """Do the leader's duties until ``stop``."""
+        """Carry out the leader's duties until ``stop``."""
         with trio.CancelScope() as self._scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._remove_run_out)
-                nursery.start_soon(self._keep_house)
-                nursery.start_soon(MemberSteps(self._log, self._observed).run)
+                nursery.start_soon(self._remove_expired_entries)
+                nursery.start_soon(self._end_quarantines)
+                nursery.start_soon(MemberReconciler(self._log, self._observed).run)
 
     def stop(self) -> None:
-        """Stop the duties; this host leads no more."""
+        """Stop the duties, because this host is no longer the leader."""
         if self._scope is not None:
             self._scope.cancel()
 
-    def renew(self, renewal: Renewal, start: Callable[[RegisterEntry], None]) -> Grant | None:
-        """Decide on a renewal.
+    def renew(
+        self, renewal: Renewal, start_registration: Callable[[RegisterEntry], None]
+    ) -> Grant | None:
+        """Answer a renewal of an entry's lease.
 
         Args:
-            renewal: What an entry sent, here or to another control host.
-            start: Called to register an entry that does not take part yet.
+            renewal: The renewal that an entry sent to this or another control host.
+            start_registration: Called with the registration of an entry that is not registered.
 
         Returns:
-            The grant, or None if the renewal gets no answer.
+            The grant, or None if the renewal is out of date and gets no answer.
 
         Raises:
-            AlderhatchError: ``no_leader`` while this host's own lease does not hold.
+            AlderhatchError: ``no_leader`` if this host does not hold the leader lease.
         """
         if not self._log.holds_lease():
-            raise AlderhatchError(Failure(ErrorKind.NO_LEADER, "the leader's lease has run out"))
-        self._sync()
+            raise AlderhatchError(Failure(ErrorKind.NO_LEADER, "the leader lease has expired"))
+        self._sync_lease_table()
         state = self._observed.state
         grant = self._table.renew(renewal, state.feed.version, self._clock.now())
-        self._renewed.notify()
+        self._renewal_received.notify()
         if grant is None or grant.lease > 0:
             return grant
         if renewal.name in state.hosts.departed:
@@ -112,13 +114,13 @@
         key = EntryKey(renewal.name, renewal.incarnation)
         if key not in self._registering:
             self._registering.add(key)
-            start(renewal.registration())
+            start_registration(renewal.registration())
         return grant
 
     async def register(self, entry: RegisterEntry) -> None:
-        """Put an entry's registration on the log; its next renewal gets a lease then."""
+        """Propose an entry's registration to the log; once committed, a renewal gets a lease."""
         try:
-            answer = await self._operate(entry)
+            answer = await self._submit(entry)
             if answer.applied:
                 log_event(LogEvent.ENTRY_REGISTERED, entry=entry.name, zone=entry.zone)
         except AlderhatchError:
@@ -127,83 +129,88 @@
             self._registering.discard(EntryKey(entry.name, entry.incarnation))
 
     def lease_view(self, name: str) -> LeaseView:
-        """Return what is known of one entry's lease."""
-        self._sync()
+        """Return the state of one entry's lease."""
+        self._sync_lease_table()
         return self._table.view(name, self._clock.now())
 
     def live_entry_count(self) -> int:
-        """Return how many entries hold a lease of this leader."""
+        """Return how many entries hold a lease from this leader."""
         return self._table.live(self._clock.now())
 
-    def in_force(self, version: int) -> InForce:
-        """Return whether a version is in force now."""
-        self._sync()
+    def check_in_force(self, version: int) -> InForceStatus:
+        """Return whether a version is in force on all entries, and which entries are missing."""
+        self._sync_lease_table()
         waiting = self._table.unconfirmed_entries(version, self._clock.now())
-        return InForce(not waiting, waiting)
+        return InForceStatus(not waiting, waiting)
 
-    async def wait_in_force(self, version: int, timeout: Millis) -> InForce:
-        """Wait until a version is in force, or the timeout is over.
+    async def wait_in_force(self, version: int, timeout: Millis) -> InForceStatus:
+        """Wait until a version is in force or the timeout expires.
 
         Raises:
-            AlderhatchError: ``no_leader`` if this host's own lease no longer holds: entries may
-                have been granted leases by another leader.
+            AlderhatchError: ``no_leader`` if this host no longer holds the leader lease: another
+                leader may have granted leases to entries.
         """
-        until = self._clock.now() + timeout
+        deadline = self._clock.now() + timeout
         while True:
-            found = self.in_force(version)
+            current = self.check_in_force(version)
             if not self._log.holds_lease() or self._log.status().term != self.term:
-                raise AlderhatchError(Failure(ErrorKind.NO_LEADER, "another host may lead"))
+                raise AlderhatchError(
+                    Failure(
+                        ErrorKind.NO_LEADER,
+                        "this host's leadership has ended or its leader lease has expired",
+                    )
+                )
             now = self._clock.now()
-            if found.in_force or now >= until:
-                return found
-            ends = self._table.next_end(now) or until
-            await self._renewed.wait_for(min(until, ends) - now + 1)
+            if current.in_force or now >= deadline:
+                return current
+            next_expiry = self._table.next_end(now) or deadline
+            await self._renewal_received.wait_for(min(deadline, next_expiry) - now + 1)
 
     def _registered(self) -> dict[str, EntryKey]:
         entries = self._observed.state.hosts.entries.values()
         return {entry.name: EntryKey(entry.name, entry.incarnation) for entry in entries}
 
-    def _sync(self) -> None:
+    def _sync_lease_table(self) -> None:
         version = self._observed.state.feed.version
-        if version != self._synced:
-            self._synced = version
+        if version != self._synced_version:
+            self._synced_version = version
             self._table.sync(self._registered(), self._clock.now())
-            self._set_plan()
+            self._update_owner_plan()
 
-    def _set_plan(self) -> None:
+    def _update_owner_plan(self) -> None:
         state = self._observed.state
         plan = owner_plan_of_hosts(state.hosts, state.settings.owners_per_server)
         self._table.set_plan(None if plan is None else plan.digest)
 
-    async def _operate(self, operation: Operation) -> Noted:
+    async def _submit(self, operation: Operation) -> Noted:
         answers = await self._proposer.submit([OPERATIONS.encode(operation)])
         answer = answers[0]
         return answer if isinstance(answer, Noted) else Noted(False)
 
-    async def _remove_run_out(self) -> None:
+    async def _remove_expired_entries(self) -> None:
         while True:
-            await trio.sleep(CHECK_INTERVAL / SECOND)
-            self._sync()
-            # A leader that was replaced hears from nobody and would take every lease as run out.
+            await trio.sleep(LEASE_CHECK_INTERVAL / SECOND)
+            self._sync_lease_table()
+            # A replaced leader receives no renewals and would treat every lease as expired.
             if not self._log.holds_lease():
                 continue
-            gone = self._table.take_expired(self._clock.now())
-            if not gone:
+            expired = self._table.take_expired(self._clock.now())
+            if not expired:
                 continue
-            for key in gone:
+            for key in expired:
                 log_event(LogEvent.ENTRY_LEASE_RUN_OUT, entry=key.name)
             try:
-                await self._operate(RemoveEntries(gone))
+                await self._submit(RemoveEntries(expired))
             except AlderhatchError:
                 self._table.retry_expired()
 
-    async def _keep_house(self) -> None:
+    async def _end_quarantines(self) -> None:
         while True:
-            await trio.sleep(HOUSE_INTERVAL / SECOND)
-            due = self._observed.state.crashes.next_end
-            if due is None or due > self._time.now():
+            await trio.sleep(QUARANTINE_CHECK_INTERVAL / SECOND)
+            quarantine_end = self._observed.state.crashes.next_end
+            if quarantine_end is None or quarantine_end > self._time.now():
                 continue
             try:
-                await self._operate(KeepHouse())
+                await self._submit(KeepHouse())
             except AlderhatchError:
                 continue
--- a/src/alderhatch/control/log_messages.py
+++ b/src/alderhatch/control/log_messages.py
@@ -1,4 +1,4 @@
-"""What control hosts say to each other over their links."""
+"""The messages between control hosts."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class PeerHello(NamedTuple):
-    """Opens a link between control hosts, and is repeated to see whether the link still works."""
+    """The first message on a link between control hosts; repeated as a probe of the link."""
 
     member_id: str
-    """The identity of the sender's data folder."""
+    """The ID of the sender's data folder."""
     cluster_id: str
-    """The cluster that the folder belongs to; empty if none yet."""
+    """The cluster that the data folder belongs to; empty if none."""
 
 
 class PeerHelloReply(NamedTuple):
-    """The answer to a ``PeerHello``."""
+    """The reply to a ``PeerHello``, with the IDs of the replying host."""
 
     member_id: str
     cluster_id: str
@@ -50,4 +50,4 @@
 )
 
 PEER_MESSAGE_TYPES: tuple[type[Any], ...] = (PeerHello, PeerHelloReply, *RAFT_MESSAGE_TYPES)
-"""All types that a codec needs whose links may be those of control hosts."""
+"""All message types that a codec for links between control hosts needs."""
--- a/src/alderhatch/control/member_steps.py
+++ b/src/alderhatch/control/member_steps.py
@@ -1,4 +1,4 @@
-"""The single steps by which the members of the replicated log change."""
+"""The steps by which the membership of the replicated log changes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AddMember(NamedTuple):
-    """Let a replacement receive the log."""
+    """Add a host as a learner."""
 
     name: str
     address: str
@@ -21,33 +21,33 @@
 
 
 class PromoteMember(NamedTuple):
-    """Give a replacement its vote."""
+    """Make a learner a voter."""
 
     name: str
 
 
 class ReplaceMember(NamedTuple):
-    """Take the vote from a host that is lost, and give it to its successor."""
+    """Remove a lost voter and promote the learner that succeeds it."""
 
     lost: str
     successor: str
 
 
 class RemoveMember(NamedTuple):
-    """Take out a host that departs or was replaced."""
+    """Remove a host from the members."""
 
     name: str
 
 
 class HandOver(NamedTuple):
-    """Let another host lead, because this one is to stop."""
+    """Transfer the leadership to another host, because this host is about to stop."""
 
 
 MembershipStep: TypeAlias = AddMember | PromoteMember | ReplaceMember | RemoveMember | HandOver
 
 
 async def execute_step(log: ControlLog, step: MembershipStep) -> bool:
-    """Take one step at the leader; return whether it is done, and log it either way."""
+    """Execute one step on the leader, log the result and return whether it succeeded."""
     try:
         match step:
             case AddMember(name, address, port):
--- a/src/alderhatch/control/replicated_log.py
+++ b/src/alderhatch/control/replicated_log.py
@@ -1,4 +1,4 @@
-"""What the rest of the control process sees of the replicated log."""
+"""The interface between the replicated log and the rest of the control process."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class StateMachine(Protocol):
-    """What the log drives. It must come to the same state on every host from the same commands."""
+    """A deterministic state machine: the same commands lead to the same state on every host."""
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply one committed command and return its result to whoever proposed it.
+        """Apply one committed command and return its result, which the proposer receives.
 
         Args:
-            index: The command's place in the log; each is applied once, in order.
+            index: The command's index in the log; each command is applied once, in order.
             command: The command's bytes.
         """
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the complete state in serialized form."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by an earlier ``snapshot``."""
+        """Replace the complete state with an earlier ``snapshot``."""
 
 
 class LogStatus(NamedTuple):
-    """The replicated log as one host sees it; for dumps, readiness and redirects."""
+    """The state of the replicated log as one host sees it; for dumps, readiness and redirects."""
 
     host: str
     role: str
@@ -43,38 +43,38 @@
 
 
 class SyncStats(NamedTuple):
-    """How a host's journal was synced so far."""
+    """Statistics of a host's journal syncs."""
 
     number: int
-    """How many; changes that wait for the disk together share one."""
+    """Number of syncs; writes that wait at the same time share one."""
     spent: Millis
-    """How long they took together, with the wait for a worker thread."""
+    """Total time of the syncs, including the wait for a worker thread."""
 
 
 class ReplicatedLog(Protocol):
-    """A log of commands that a majority of the control hosts has on disk."""
+    """A log of commands, each committed once a majority of the voters has it on disk."""
 
     async def propose(self, command: bytes) -> object:
-        """Put a command on the log and wait until it is committed and applied here.
+        """Append a command to the log and wait until it is committed and applied on this host.
 
         Returns:
             What the state machine's ``apply`` returned.
 
         Raises:
-            AlderhatchError: ``no_leader`` if this host is not the leader, so that the command was
-                certainly not taken; ``change_unknown`` if it may or may not be committed;
-                ``storage_failed`` if this host's disk failed.
+            AlderhatchError: ``no_leader`` if the command will certainly not be committed, as when
+                this host is not the leader; ``change_unknown`` if it may or may not be committed;
+                ``storage_failed`` if this host's disk has failed.
         """
 
     async def read_barrier(self) -> int:
-        """Wait until all that was committed before the call is applied here.
+        """Wait until everything that was committed before the call is applied on this host.
 
         Returns:
             The applied index, at which a read of the state is linearizable.
 
         Raises:
-            AlderhatchError: ``no_leader`` if that can't be known in time.
+            AlderhatchError: ``no_leader`` if this host can't confirm in time that it is the leader.
         """
 
     def status(self) -> LogStatus:
-        """Return what this host knows of the log now."""
+        """Return the state of the log as this host currently sees it."""
