--- a/features/steps/log_node_steps.py
+++ b/features/steps/log_node_steps.py
@@ -14,25 +14,25 @@
 from alderhatch.storage.files import DiskFiles
 from features.support.log_cluster import CFG, LogCluster, LogHost, run_log_cluster
 
-FULL = "disk is full"
+DISK_FULL_MESSAGE = "disk is full"
 
 
-class FillingFiles(DiskFiles):
-    """A folder on a disk that can be made full."""
+class LimitedDiskFiles(DiskFiles):
+    """Files on a disk that a test can make full."""
 
-    full: set[str] = set()  # noqa: RUF012
+    full_folders: set[str] = set()  # noqa: RUF012
 
     def _open(self, name, flags):
         file = super()._open(name, flags)
         write = file.write
 
-        def write_if_room(data):
-            if str(self.folder) in self.full:
+        def write_unless_full(data):
+            if str(self.folder) in self.full_folders:
                 write(data[: len(data) // 2])
-                raise OSError(errno.ENOSPC, FULL)
+                raise OSError(errno.ENOSPC, DISK_FULL_MESSAGE)
             write(data)
 
-        file.write = write_if_room
+        file.write = write_unless_full
         return file
 
 
@@ -67,8 +67,8 @@
         assert _without_repeats(commands) == context.acknowledged, name
 
 
-@when("{size:d} log hosts are founded and take {count:d} commands")
-def step_take(context, size, count):
+@when("{size:d} log hosts bootstrap the log and {count:d} commands are committed")
+def step_commit(context, size, count):
     context.acknowledged = []
     context.barriers = {}
 
@@ -86,45 +86,49 @@
 
 
 @then("each log host has applied the same commands in the same order")
-def step_same(context):
+def step_same_commands(context):
     assert len(context.log_states) == len(context.log_status.voters)
     first, *others = context.log_states.values()
     assert all(other == first for other in others), context.log_states
     assert _without_repeats(first) == context.acknowledged, first
-    # Whoever isn't told what became of a command sends it again, and it may have been taken before.
+    # A command with an unknown outcome is proposed again and may then be committed twice.
     resent = context.log_resent
-    repeated = {one: count for one, count in Counter(first).items() if count > 1 + resent[one]}
+    repeated = {
+        proposed: count
+        for proposed, count in Counter(first).items()
+        if count > 1 + resent[proposed]
+    }
     assert not repeated, (repeated, resent)
 
 
-@when("{size:d} log hosts take {count:d} commands, and the outcome of one of them is lost")
+@when("{size:d} log hosts commit {count:d} commands, and the outcome of one of them is lost")
 def step_lost_outcome(context, size, count):
     context.acknowledged = []
 
     async def scenario(cluster):
-        cluster.loses_outcome_of = context.lost_outcome = b"command %d" % (count // 2)
+        cluster.lost_outcome_command = context.lost_outcome = b"command %d" % (count // 2)
         await _propose_all(cluster, count, context.acknowledged)
         await _record(context, cluster)
 
     run_log_cluster(size, scenario)
 
 
-@then("that command was sent again, and stands in the log twice")
-def step_twice(context):
+@then("that command was proposed again and is in the log twice")
+def step_in_log_twice(context):
     assert context.log_resent[context.lost_outcome] == 1
     for commands in context.log_states.values():
         assert commands.count(context.lost_outcome) == 2
 
 
-@then("a log read barrier at the leader covers them, and the others refuse it")
+@then("a read barrier on the log leader covers them, and the other log hosts refuse it")
 def step_barrier(context):
-    wanted = {"leader": context.log_status.commit_index}
+    expected = {"leader": context.log_status.commit_index}
     if context.log_size > 1:
-        wanted["follower"] = ErrorKind.NO_LEADER
-    assert context.barriers == wanted, context.barriers
+        expected["follower"] = ErrorKind.NO_LEADER
+    assert context.barriers == expected, context.barriers
 
 
-@when("{size:d} log hosts take {count:d} commands, are all stopped and started again")
+@when("{size:d} log hosts commit {count:d} commands, are all stopped and are started again")
 def step_restart_all(context, size, count):
     context.acknowledged = []
 
@@ -146,7 +150,7 @@
     assert context.log_entries < 100
 
 
-@when("the log leader of {size:d} is killed while {count:d} commands are proposed")
+@when("the leader of {size:d} log hosts is killed while {count:d} commands are proposed")
 def step_kill_leader(context, size, count):
     context.acknowledged = []
 
@@ -164,7 +168,7 @@
     run_log_cluster(size, scenario)
 
 
-@then("the log lost no acknowledged command and its term rose")
+@then("the log lost no acknowledged command and its term increased")
 def step_term_rose(context):
     _check_nothing_lost(context)
     assert len(context.log_states) == 3
@@ -183,18 +187,18 @@
     return [name for name in cluster.hosts if name != leader.name]
 
 
-async def _until_done(cluster, do):
-    """Ask the leader, whoever that is, until it has done it."""
+async def _retry_on_leader(cluster, action):
+    """Call ``action`` with the current leader until it succeeds."""
     while True:
         try:
-            await do(await cluster.leader())
+            await action(await cluster.leader())
             return
         except AlderhatchError as exc:
             if exc.failure.kind is not ErrorKind.NO_LEADER:
                 raise
 
 
-@when("the disk of a log follower of 3 is replaced, it is repaired, and another host is lost")
+@when("the disk of a follower of 3 log hosts is replaced and repaired, and another host is lost")
 def step_repair(context):
     context.acknowledged = []
 
@@ -202,8 +206,8 @@
         await _propose_all(cluster, 150, context.acknowledged)
         name, other = await _follower_names(cluster)
         await _replace_disk(cluster, name)
-        await _until_done(cluster, lambda node: node.add_learner(name))
-        await _until_done(cluster, lambda node: node.promote(name))
+        await _retry_on_leader(cluster, lambda node: node.add_learner(name))
+        await _retry_on_leader(cluster, lambda node: node.promote(name))
         await cluster.stop(other)
         await _propose_all(cluster, 20, context.acknowledged)
         await _record(context, cluster)
@@ -211,13 +215,13 @@
     run_log_cluster(3, scenario)
 
 
-@then("the log lost no acknowledged command and takes new ones")
-def step_takes_new(context):
+@then("the log lost no acknowledged command and accepts new ones")
+def step_accepts_new(context):
     _check_nothing_lost(context)
     assert len(context.log_states) >= 2
 
 
-@when("the disk of the first log host of 3 is replaced without a repair, and another host stops")
+@when("the disk of the first of 3 log hosts is replaced without a repair, and another host stops")
 def step_no_repair(context):
     context.acknowledged = []
 
@@ -227,12 +231,12 @@
         await cluster.leader()
         await cluster.stop("control-2")
         await trio.sleep(0.5)
-        context.alone = [node.holds_lease() for node in cluster.running()]
-        context.alone_clusters = [
+        context.leases = [node.holds_lease() for node in cluster.running()]
+        context.commit_indexes = [
             cluster.hosts[name].node.status().commit_index for name in ("control-1", "control-3")
         ]
         with trio.move_on_after(1.0) as scope:
-            await cluster.propose(b"while no majority is there")
+            await cluster.propose(b"without a majority")
         context.blocked = scope.cancelled_caught
         await cluster.start("control-2")
         await _propose_all(cluster, 5, context.acknowledged)
@@ -241,11 +245,11 @@
     run_log_cluster(3, scenario)
 
 
-@then("the log acknowledges nothing until that other host is back")
-def step_blocked(context):
+@then("the log acknowledges no command until that other host is back")
+def step_no_acknowledgement(context):
     assert context.blocked
-    assert context.alone == [False, False]
-    assert context.alone_clusters[0] == 0
+    assert context.leases == [False, False]
+    assert context.commit_indexes[0] == 0
     for name in ("control-2", "control-3"):
         assert context.log_states[name] == context.acknowledged
 
@@ -255,19 +259,21 @@
     await cluster.choose_port(new)
     cluster.hosts["control-4"] = new
     await cluster.start("control-4")
-    await _until_done(cluster, lambda node: node.add_learner("control-4", "127.0.0.1", new.port))
+    await _retry_on_leader(
+        cluster, lambda node: node.add_learner("control-4", "127.0.0.1", new.port)
+    )
 
 
-@when("a fourth log host joins 3 as learner, is promoted, and another one is removed")
-def step_fourth(context):
+@when("a fourth log host joins 3 as a learner, is promoted, and another one is removed")
+def step_fourth_host(context):
     context.acknowledged = []
 
     async def scenario(cluster: LogCluster):
         await _propose_all(cluster, 120, context.acknowledged)
         removed = (await _follower_names(cluster))[-1]
         await _join_fourth(cluster)
-        await _until_done(cluster, lambda node: node.promote("control-4"))
-        await _until_done(cluster, lambda node: node.remove_member(removed))
+        await _retry_on_leader(cluster, lambda node: node.promote("control-4"))
+        await _retry_on_leader(cluster, lambda node: node.remove_member(removed))
         context.removed = removed
         await _propose_all(cluster, 5, context.acknowledged)
         await _record(context, cluster)
@@ -275,16 +281,16 @@
     run_log_cluster(3, scenario)
 
 
-@then("the log has the other three as voters, with every acknowledged command")
+@then("the other three are voters of the log and have every acknowledged command")
 def step_voters(context):
-    wanted = {"control-1", "control-2", "control-3", "control-4"} - {context.removed}
-    assert set(context.log_status.voters) == wanted
+    expected = {"control-1", "control-2", "control-3", "control-4"} - {context.removed}
+    assert set(context.log_status.voters) == expected
     assert len(context.log_states) == 3
     _check_nothing_lost(context)
 
 
-@when("a fourth log host joins 3 as learner, stops with another one, and is to be promoted")
-def step_gone_replacement(context):
+@when("a fourth log host joins 3 as a learner, stops with another one, and is to be promoted")
+def step_stopped_replacement(context):
     context.acknowledged = []
 
     async def scenario(cluster: LogCluster):
@@ -298,28 +304,28 @@
         await cluster.stop("control-4")
         await cluster.stop(lost)
         await trio.sleep(2 * CFG.raft.election_timeout / SECOND)
-        context.gone_counts = leader.caught_up("control-4")
+        context.stopped_caught_up = leader.caught_up("control-4")
         try:
             await leader.promote("control-4", in_place_of=lost)
         except AlderhatchError as exc:
             context.refusal = exc.failure.kind
-        context.names = {one.name for one in leader.membership.voters}
+        context.voter_names = {voter.name for voter in leader.membership.voters}
         await _propose_all(cluster, 5, context.acknowledged)
         await _record(context, cluster)
 
     run_log_cluster(3, scenario)
 
 
-@then("it gets no vote, and the log takes new commands")
+@then("it gets no vote, and the log accepts new commands")
 def step_no_vote(context):
-    assert not context.gone_counts
+    assert not context.stopped_caught_up
     assert context.refusal is ErrorKind.NO_LEADER, context.refusal
-    assert context.names == {"control-1", "control-2", "control-3"}, context.names
+    assert context.voter_names == {"control-1", "control-2", "control-3"}, context.voter_names
     _check_nothing_lost(context)
     assert len(context.acknowledged) == 25
 
 
-@when("the log leader of 3 hands over and is stopped while commands come in")
+@when("the leader of 3 log hosts transfers its leadership and stops while commands arrive")
 def step_planned_stop(context):
     context.acknowledged = []
 
@@ -339,8 +345,8 @@
     run_log_cluster(3, scenario)
 
 
-@when("5 log hosts are founded and the leader hands over at once")
-def step_early_hand_over(context):
+@when("5 log hosts bootstrap the log and the leader transfers its leadership at once")
+def step_early_transfer(context):
     context.log_terms = []
 
     async def scenario(cluster):
@@ -349,7 +355,7 @@
         await leader.transfer_leadership()
         context.log_terms.append((await cluster.leader()).term)
 
-    # Patient members, so that a busy machine brings about no election of its own.
+    # The long timeouts avoid further elections on a busy machine.
     raft = CFG.raft._replace(election_timeout=1500)
     run_log_cluster(5, scenario, cfg=CFG._replace(raft=raft, probe=30_000, silence=5000))
 
@@ -360,20 +366,20 @@
     assert second == first + 1, context.log_terms
 
 
-@when("the disk of the log leader of 3 is full")
-def step_full(context):
+@when("the disk of the leader of 3 log hosts is full")
+def step_full_disk(context):
     context.acknowledged = []
 
     async def scenario(cluster):
         for host in cluster.hosts.values():
-            host.files = FillingFiles
+            host.files = LimitedDiskFiles
         for name in cluster.hosts:
             await cluster.stop(name)
         await cluster.start_all()
         await _propose_all(cluster, 20, context.acknowledged)
         old = await cluster.leader()
         folder = str(cluster.hosts[old.name].folder)
-        FillingFiles.full.add(folder)
+        LimitedDiskFiles.full_folders.add(folder)
         await _propose_all(cluster, 20, context.acknowledged)
         context.log_failed = old.status()
         context.refused_kind = None
@@ -381,7 +387,7 @@
             await old.propose(b"to the failed host")
         except AlderhatchError as exc:
             context.refused_kind = exc.failure.kind
-        FillingFiles.full.discard(folder)
+        LimitedDiskFiles.full_folders.discard(folder)
         await cluster.stop(old.name)
         await cluster.start(old.name)
         await _record(context, cluster)
@@ -389,29 +395,29 @@
     run_log_cluster(3, scenario)
 
 
-@then("the failed log host says so, refuses commands and leads no more")
-def step_failed(context):
-    assert FULL in context.log_failed.storage_failure
+@then("the failed log host reports it, refuses commands and is no longer the leader")
+def step_failure_reported(context):
+    assert DISK_FULL_MESSAGE in context.log_failed.storage_failure
     assert context.log_failed.role != "leader"
     assert context.refused_kind is ErrorKind.STORAGE_FAILED
     assert context.log_status.leader != context.log_failed.host
 
 
-@then("the failed log host has everything after it was started with an empty enough disk")
-def step_failed_back(context):
+@then("the failed log host has every command after a restart with free disk space")
+def step_failed_host_restored(context):
     commands = context.log_states[context.log_failed.host]
     assert _without_repeats(commands) == context.acknowledged
 
 
-@when("the link of the log leader of 3 to a follower goes silent")
+@when("the link of the leader of 3 log hosts to a follower goes silent")
 def step_silent(context):
     context.acknowledged = []
     context.silent = {}
-    lost = []
+    dropped_links = []
     send = Link.send
 
-    async def send_or_lose(self, message):
-        if self in lost:
+    async def send_or_drop(self, message):
+        if self in dropped_links:
             return
         await send(self, message)
 
@@ -420,13 +426,13 @@
         leader = await cluster.leader()
         name = (await _follower_names(cluster))[0]
         outbox = leader._links.remotes[name].outbox
-        Link.send = send_or_lose
-        lost.append(outbox.link)
+        Link.send = send_or_drop
+        dropped_links.append(outbox.link)
         before = cluster.hosts[name].node.status().applied_index
         await _propose_all(cluster, 5, context.acknowledged)
         await cluster.settle()
         context.silent = {
-            "news": cluster.hosts[name].node.status().applied_index - before,
+            "new_commands": cluster.hosts[name].node.status().applied_index - before,
             "same_leader": (await cluster.leader()).name == leader.name,
             "new_link": leader._links.remotes[name].outbox is not outbox,
         }
@@ -438,9 +444,9 @@
         Link.send = send
 
 
-@then("the log follower gets new commands over a new link")
+@then("the follower receives new commands over a new link")
 def step_new_link(context):
-    assert context.silent["news"] >= 5, context.silent
+    assert context.silent["new_commands"] >= 5, context.silent
     assert context.silent["new_link"], context.silent
     _check_nothing_lost(context)
 
@@ -452,10 +458,10 @@
     async def scenario(cluster):
         await _propose_all(cluster, 5, context.acknowledged)
         name = "control-2"
-        stranger = type(cluster.hosts[name])("control-9", cluster.hosts[name].folder.parent / "9")
-        await cluster.choose_port(stranger)
+        foreign = type(cluster.hosts[name])("control-9", cluster.hosts[name].folder.parent / "9")
+        await cluster.choose_port(foreign)
         founders = cluster.founders
-        cluster.hosts["control-9"] = stranger
+        cluster.hosts["control-9"] = foreign
         cluster.founders = ["control-9"]
         await cluster.start("control-9")
         cluster.founders = founders
@@ -464,13 +470,13 @@
         leader = await _leader_of(cluster, founders)
         context.refused = None
         try:
-            await leader.add_learner("control-9", "127.0.0.1", stranger.port)
+            await leader.add_learner("control-9", "127.0.0.1", foreign.port)
         except AlderhatchError as exc:
             context.refused = exc.failure.kind
         target = cluster.hosts[name]
         node._links.add_peer(PeerAddress(name, "127.0.0.1", target.port))
         await trio.sleep(0.5)
-        context.stranger_commands = list(stranger.machine.commands)
+        context.foreign_commands = list(foreign.machine.commands)
         context.own_voters = leader.status().voters
         context.own_commands = list(target.machine.commands)
 
@@ -485,9 +491,9 @@
         await trio.sleep(0.01)
 
 
-@then("the log host refuses it and keeps its state")
+@then("the log host refuses it and keeps its own state")
 def step_refused(context):
     assert context.refused is ErrorKind.INVALID_CHANGE, context.refused
     assert context.own_voters == ("control-1", "control-2", "control-3")
     assert context.own_commands == context.acknowledged, context.own_commands
-    assert context.stranger_commands == [b"of another cluster"]
+    assert context.foreign_commands == [b"of another cluster"]
--- a/features/support/log_cluster.py
+++ b/features/support/log_cluster.py
@@ -1,4 +1,4 @@
-"""Control hosts' logs in one process: real links over loopback and real folders."""
+"""A cluster of log nodes in one process, with real links over loopback and real folders."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 CFG = LogNodeConfig(raft=RAFT, request_timeout=4000, redial=30, probe=200, silence=300)
 
 
-class ListMachine:
-    """Keeps all commands; the answer to a command is its place."""
+class ListStateMachine:
+    """State machine that keeps all commands; the result of a command is its position."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -53,20 +53,22 @@
 
 
 class LogHost:
-    """One host that can be stopped and started; its listener keeps the port."""
+    """A host that can be stopped and started again on the same port."""
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name = name
         self.folder = folder
         self.port = 0
         self.files = DiskFiles
-        self.machine = ListMachine()
+        self.machine = ListStateMachine()
         self.node: LogNode | None = None
         self.scope = trio.CancelScope()
         self.stopped = trio.Event()
 
 
 class LogCluster:
+    """Log hosts that a test starts, stops and sends commands to."""
+
     def __init__(self, size: int, cfg: LogNodeConfig = CFG) -> None:
         self.cfg = cfg
         self.root = tempfile.TemporaryDirectory()
@@ -77,9 +79,9 @@
         self.nursery: trio.Nursery | None = None
         self.roles: list[tuple[str, str, int]] = []
         self.resent: Counter[bytes] = Counter()
-        """How often each command was sent again though it may have been taken."""
-        self.loses_outcome_of: bytes | None = None
-        """A command whose first outcome does not reach whoever proposed it."""
+        """How often each command was proposed again with an unknown outcome."""
+        self.lost_outcome_command: bytes | None = None
+        """A command whose first outcome does not reach its proposer."""
 
     async def open_ports(self) -> None:
         for host in self.hosts.values():
@@ -92,11 +94,13 @@
             await listener.aclose()
 
     def peers(self) -> list[PeerAddress]:
-        return [PeerAddress(one, "127.0.0.1", self.hosts[one].port) for one in self.founders]
+        return [
+            PeerAddress(founder, "127.0.0.1", self.hosts[founder].port) for founder in self.founders
+        ]
 
     async def start(self, name: str) -> None:
         host = self.hosts[name]
-        host.machine = ListMachine()
+        host.machine = ListStateMachine()
         host.scope = trio.CancelScope()
         host.stopped = trio.Event()
         storage = DataFolder(host.files(host.folder), name)
@@ -147,7 +151,7 @@
             await trio.sleep(0.01)
 
     async def propose(self, command: bytes) -> object:
-        """Propose as a caller would whose commands may run twice."""
+        """Propose a command and retry on errors; it may be committed more than once."""
         while True:
             node = await self.leader()
             try:
@@ -163,35 +167,35 @@
                 await trio.sleep(0.02)
 
     def _lose_outcome(self, command: bytes) -> None:
-        if command != self.loses_outcome_of:
+        if command != self.lost_outcome_command:
             return
-        self.loses_outcome_of = None
+        self.lost_outcome_command = None
         raise AlderhatchError(Failure(ErrorKind.CHANGE_UNKNOWN, "the outcome was lost"))
 
     async def settle(self) -> None:
-        """Wait until all members that run have applied the same."""
+        """Wait until all running members have applied everything that is committed."""
         while True:
             node = await self.leader()
             index = await node.read_barrier()
             members = {*node.status().voters, *node.status().learners}
-            late = [
-                one
-                for one in self.running()
-                if one.name in members
-                and one.status().voters
-                and one.status().applied_index < index
+            lagging = [
+                member
+                for member in self.running()
+                if member.name in members
+                and member.status().voters
+                and member.status().applied_index < index
             ]
-            if not late:
+            if not lagging:
                 return
             await trio.sleep(0.02)
 
 
-def run_log_cluster(size, scenario, limit=20, cfg=CFG):
-    """Run ``await scenario(cluster)`` with the hosts started."""
+def run_log_cluster(size, scenario, timeout_seconds=20, cfg=CFG):
+    """Start the hosts, run ``scenario(cluster)`` and return the cluster."""
     cluster = LogCluster(size, cfg)
 
     async def main():
-        with trio.fail_after(limit):
+        with trio.fail_after(timeout_seconds):
             await cluster.open_ports()
             async with trio.open_nursery() as nursery:
                 cluster.nursery = nursery
--- a/features/support/memory_log.py
+++ b/features/support/memory_log.py
@@ -1,4 +1,4 @@
-"""A replicated log of one host that keeps everything in memory, for tests of what is above it."""
+"""A replicated log of a single host in memory, for tests of the code that uses a log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
         self.name = name
         self.commands = []
         self.leads = True
-        self.lose_answers = 0
+        self.answers_to_lose = 0
         self.term = 1
         self.members = [name]
         self.learners = []
@@ -22,8 +22,8 @@
             raise AlderhatchError(Failure(ErrorKind.NO_LEADER, "not the leader"))
         self.commands.append(command)
         answer = self._machine.apply(len(self.commands), command)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
             raise AlderhatchError(Failure(ErrorKind.CHANGE_UNKNOWN, "the answer was lost"))
         return answer
 
@@ -63,4 +63,4 @@
         self.leads = False
 
     async def serve_peer(self, link):
-        raise AssertionError("a log of one host has no peers")
+        raise AssertionError("the log of a single host has no peers")
--- a/src/alderhatch/control/_log_links.py
+++ b/src/alderhatch/control/_log_links.py
@@ -27,7 +27,7 @@
 
 
 class PeerAddress(NamedTuple):
-    """Where a control host accepts links."""
+    """The address on which a control host accepts links."""
 
     name: str
     address: str
