--- a/bench/capacity_lease_clients.py
+++ b/bench/capacity_lease_clients.py
@@ -78,7 +78,7 @@
 async def _settle(client: ControlClient) -> None:
     while True:
         await client.changed.wait()
-        client.shares_settled()
+        client.confirm_shares()
 
 
 async def _serve(first: int, count: int, port: int) -> None:
--- a/bench/control_cluster.py
+++ b/bench/control_cluster.py
@@ -198,7 +198,7 @@
                 await nursery.start(client.run)
                 while True:
                     await client.changed.wait()
-                    client.shares_settled()
+                    client.confirm_shares()
 
 
 def cpu_seconds() -> float:
--- a/bench/policy_loopback.py
+++ b/bench/policy_loopback.py
@@ -223,7 +223,7 @@
     )
     node = EntryNode(cfg, SEED)
     await nursery.start(node.run)
-    while any(poller.newest is None for poller in node.maps):
+    while any(poller.newest is None for poller in node.map_pollers):
         await trio.sleep(0.02)
     return node
 
--- a/features/steps/entry_snapshot_steps.py
+++ b/features/steps/entry_snapshot_steps.py
@@ -66,7 +66,7 @@
 
 
 def _adopted(here):
-    newest = here.entries[0].maps[0].newest
+    newest = here.entries[0].map_pollers[0].newest
     return newest is not None and newest.snapshot == here.upstream.newest.snapshot
 
 
@@ -114,9 +114,9 @@
     upstream = here.upstream
     first = upstream.layouts.pop(Snapshot(1, 1))
     upstream.layouts[first.snapshot] = first
-    here.call(here.entries[0].maps[0].fetch)
+    here.call(here.entries[0].map_pollers[0].fetch)
 
 
 @then("the entry's map is of version {version:d}")
 def step_map_version(context, version):
-    assert world(context).entries[0].maps[0].newest.snapshot.version == version
+    assert world(context).entries[0].map_pollers[0].newest.snapshot.version == version
--- a/features/steps/entry_stop_steps.py
+++ b/features/steps/entry_stop_steps.py
@@ -13,7 +13,7 @@
 from behave import given, then, when
 
 from alderhatch.entry.app import planned_stop
-from alderhatch.entry.operator_side import OperatorSide
+from alderhatch.entry.operator_handler import OperatorHandler
 from alderhatch.errors import AlderhatchError
 from alderhatch.http.client import http_once
 from alderhatch.http.exchange import HttpExchangeError
@@ -228,13 +228,13 @@
 def step_operators(context):
     here = world(context)
     here.call(here.start_entry)
-    context.operator_side = OperatorSide(here.entries[0])
+    context.operator_handler = OperatorHandler(here.entries[0])
 
 
 def _get(context, path):
     async def get():
         try:
-            return await context.operator_side.handle(HttpRequest("GET", path, {}, {}, b""))
+            return await context.operator_handler.handle(HttpRequest("GET", path, {}, {}, b""))
         except AlderhatchError as exc:
             return exc.failure
 
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -10,7 +10,7 @@
 from alderhatch.codec import Codec
 from alderhatch.core.entry_events import SendShard
 from alderhatch.core.request import Request
-from alderhatch.entry.operator_side import OperatorSide
+from alderhatch.entry.operator_handler import OperatorHandler
 from alderhatch.entry.owner_link import OwnerCallError
 from alderhatch.entry.owner_messages import ENTRY_ROLE, OWNER_MESSAGES
 from alderhatch.http.messages import HttpRequest
@@ -98,7 +98,7 @@
     get = HttpRequest("GET", "/dump", {}, {}, b"")
 
     async def links_shown():
-        answers = [await OperatorSide(entry).handle(get) for entry in here.entries]
+        answers = [await OperatorHandler(entry).handle(get) for entry in here.entries]
         links = [orjson.loads(answer.body)["links"] for answer in answers]
         return dict(zip((entry.cfg.name for entry in here.entries), links, strict=True))
 
@@ -229,8 +229,8 @@
     context.flood = []
 
     async def one(number):
-        snapshot = front.maps[0].newest.snapshot
-        shard = front.maps[0].newest.shards[0].name
+        snapshot = front.map_pollers[0].newest.snapshot
+        shard = front.map_pollers[0].newest.shards[0].name
         deadline = trio.current_time() * SECOND + 60_000.0
         place = (f"flood-{number}", "navigator", server.server_id, shard, snapshot)
         try:
--- a/features/support/control_tier.py
+++ b/features/support/control_tier.py
@@ -214,7 +214,7 @@
             async with trio.open_nursery() as nursery:
                 await nursery.start(client.run)
                 while True:
-                    client.shares_settled()
+                    client.confirm_shares()
                     await trio.sleep(0.01)
 
     def kill_entry(self, name):
--- a/features/support/one_control.py
+++ b/features/support/one_control.py
@@ -75,8 +75,8 @@
             await nursery.start(client.run)
             while not client.may_serve():
                 await client.changed.wait()
-                client.shares_settled()
+                client.confirm_shares()
             task_status.started()
             while True:
                 await client.changed.wait()
-                client.shares_settled()
+                client.confirm_shares()
--- a/src/alderhatch/entry/app.py
+++ b/src/alderhatch/entry/app.py
@@ -23,7 +23,7 @@
 from .control_hook import ControlHookMaker
 from .control_link import ControlLink
 from .entry_node import EntryNode
-from .operator_side import OperatorSide
+from .operator_handler import OperatorHandler
 
 FILE_REVISION = 1
 """The revision of rules that were read from a file."""
@@ -96,7 +96,7 @@
     listeners = await trio.open_tcp_listeners(where.port, host=where.address)
     node.operator_port = listeners[0].socket.getsockname()[1]
     limits = HttpLimits(connections=MAX_OPERATORS)
-    await nursery.start(partial(serve_http, listeners, OperatorSide(node).handle, limits))
+    await nursery.start(partial(serve_http, listeners, OperatorHandler(node).handle, limits))
 
 
 async def _stop_on_signal(
--- a/src/alderhatch/entry/caller_side.py
+++ b/src/alderhatch/entry/caller_handler.py
@@ -23,7 +23,7 @@
         """Run one request."""
 
 
-class CallerSide:
+class CallerHandler:
     """Answers callers.
 
     Args:
--- a/src/alderhatch/entry/control_client.py
+++ b/src/alderhatch/entry/control_client.py
@@ -138,7 +138,7 @@
         """Return how many connections to keep to one server.
 
         While the share shrinks this already is the smaller number. Close what is over it, then
-        call ``shares_settled``.
+        call ``confirm_shares``.
         """
         return self._lease.connection_limit(server)
 
@@ -146,7 +146,7 @@
         """Return the entries that may hold connections to a server, the surest first."""
         return self._lease.owners(server)
 
-    def shares_settled(self) -> None:
+    def confirm_shares(self) -> None:
         """Tell control that no server has more connections than ``connection_limit``."""
         if self._lease.share_settled():
             self._hurry.request()
--- a/src/alderhatch/entry/control_link.py
+++ b/src/alderhatch/entry/control_link.py
@@ -133,7 +133,7 @@
             self._lease = lease
             self._entry.feed(lease)
         if self._entry.within_shares():
-            self.client.shares_settled()
+            self.client.confirm_shares()
 
     def _set_owners(self) -> None:
         owners = self._entry.owners
--- a/src/alderhatch/entry/entry_node.py
+++ b/src/alderhatch/entry/entry_node.py
@@ -46,7 +46,7 @@
 from ..settings.models import EntrySettings
 from .address_book import AddressBook, EntryAddress
 from .attempt_runner import AttemptRunner
-from .caller_side import CallerSide
+from .caller_handler import CallerHandler
 from .connection_pool import ConnectionPool
 from .control_hook import ControlEffect, ControlHook, ControlHookMaker
 from .entry_metrics import EntryMetrics
@@ -93,14 +93,14 @@
         self.addresses = AddressBook(cfg.address_ttl_ms)
         self.upstreams = frozenset(upstream.name for upstream in cfg.upstreams)
         self.callers = ServeState()
-        self.maps = [
+        self.map_pollers = [
             MapPoller(upstream, self.pool, self._adopt, self.owners) for upstream in cfg.upstreams
         ]
         self._probers = [
             HealthPoller(
                 upstream, self.pool, partial(getattr, poller, "newest"), self.feed, self.owners
             )
-            for upstream, poller in zip(cfg.upstreams, self.maps, strict=True)
+            for upstream, poller in zip(cfg.upstreams, self.map_pollers, strict=True)
         ]
         self.stop_requested = trio.Event()
         """Set once somebody wants a planned stop."""
@@ -129,7 +129,7 @@
         self.port = listeners[0].socket.getsockname()[1]
         self.set_roster([EntryAddress(where.address, self.port, self.cfg.zone)])
         serve = partial(
-            serve_http, listeners, CallerSide(self).handle, self._limits(), self.callers
+            serve_http, listeners, CallerHandler(self).handle, self._limits(), self.callers
         )
         async with trio.open_nursery() as nursery:
             await nursery.start(self.pool.run)
@@ -179,9 +179,9 @@
 
     async def _start_pollers(self, nursery: trio.Nursery) -> None:
         async with trio.open_nursery() as first:
-            for poller in self.maps:
+            for poller in self.map_pollers:
                 first.start_soon(poller.fetch)
-        for poller in self.maps:
+        for poller in self.map_pollers:
             nursery.start_soon(poller.run)
         for prober in self._probers:
             nursery.start_soon(prober.run)
@@ -221,7 +221,7 @@
 
     def known_servers(self) -> list[Server]:
         """Return the servers of all shard maps."""
-        maps = [poller.newest for poller in self.maps if poller.newest is not None]
+        maps = [poller.newest for poller in self.map_pollers if poller.newest is not None]
         return [server for shard_map in maps for server in shard_map.servers]
 
     def within_shares(self) -> bool:
@@ -305,7 +305,7 @@
                 for prober in self._probers:
                     prober.hurry(server_id)
             case FetchShardMap(upstream=upstream):
-                for poller in self.maps:
+                for poller in self.map_pollers:
                     poller.hurry(upstream)
 
     def _finish(self, query: int, outcome: Outcome) -> None:
--- a/src/alderhatch/entry/operator_side.py
+++ b/src/alderhatch/entry/operator_handler.py
@@ -17,7 +17,7 @@
 """Servers and entries that a dump lists at most; the counts beside them are whole."""
 
 
-class OperatorSide:
+class OperatorHandler:
     """Answers operators. Nothing here changes the entry, and no secret or request is shown.
 
     Args:
@@ -44,7 +44,7 @@
 
     def _ready(self) -> HttpResponse:
         node = self._node
-        lacking = [poller.upstream for poller in node.maps if poller.newest is None]
+        lacking = [poller.upstream for poller in node.map_pollers if poller.newest is None]
         if node.stop_requested.is_set():
             return json_response(503, {"ready": False, "why": "stopping"})
         if not node.may_serve:
@@ -75,7 +75,7 @@
             "callers": {"address": node.cfg.callers.address, "port": node.port},
             "stopping": node.stop_requested.is_set(),
             "counts": self._counts(),
-            "maps": [self._map_line(poller.upstream) for poller in node.maps],
+            "maps": [self._map_line(poller.upstream) for poller in node.map_pollers],
             "servers": self._server_lines(),
             "links": self._links(),
             "core": node.core.dump(trio.current_time() * SECOND),
@@ -94,7 +94,9 @@
         }
 
     def _map_line(self, upstream: str) -> dict[str, object]:
-        shard_map = next(item.newest for item in self._node.maps if item.upstream == upstream)
+        shard_map = next(
+            item.newest for item in self._node.map_pollers if item.upstream == upstream
+        )
         if shard_map is None:
             return {"upstream": upstream, "snapshot": None}
         return {
--- a/src/alderhatch/standin/demo.py
+++ b/src/alderhatch/standin/demo.py
@@ -137,7 +137,7 @@
 
     async def _until_ready(self) -> None:
         def ready(entry: EntryNode) -> bool:
-            known = all(poller.newest is not None for poller in entry.maps)
+            known = all(poller.newest is not None for poller in entry.map_pollers)
             return entry.may_serve and known and len(entry.addresses.roster) == ENTRIES
 
         while not all(ready(entry) for entry in self._entries):
