--- a/features/steps/caller_addresses_steps.py
+++ b/features/steps/caller_addresses_steps.py
@@ -21,7 +21,7 @@
 @when('a caller in zone "{zone}" asks for the entries\' addresses')
 @when('a caller in zone "" asks for the entries\' addresses')
 def step_ask_addresses(context, zone=""):
-    context.told = context.address_book.answer(zone)
+    context.told = context.address_book.addresses_for(zone)
 
 
 @then('the caller is told of the entries "{answer}" for {ttl:d} ms')
--- a/features/steps/control_entries_steps.py
+++ b/features/steps/control_entries_steps.py
@@ -5,7 +5,7 @@
 
 from alderhatch.clock import SECOND
 from alderhatch.core.control.feed import ControlPlace
-from alderhatch.entry._control_places import ControlPlaces
+from alderhatch.entry._control_host_selector import ControlHostSelector
 from alderhatch.settings.models import NamedEndpoint
 from features.support.control_commands import rule
 from features.support.control_tier import LOOPBACK, Forwarder, control_tier
@@ -33,8 +33,8 @@
         well = await tier.start_entry("entry-2")
         await cut.wait_ready()
         # Its host reaches control through the forwarders alone, whatever it is told of.
-        cut._places = ControlPlaces(controls, 0)
-        cut._places.learn = lambda told: None
+        cut._host_selector = ControlHostSelector(controls, 0)
+        cut._host_selector.set_learned = lambda told: None
         for forwarder in forwarders:
             # Old connections go silent, and new ones are never answered.
             forwarder.silent = True
@@ -203,8 +203,8 @@
 
 @given('an entry with the control hosts "{configured}" that was told of "{told}"')
 def step_told(context, configured, told):
-    context.places = ControlPlaces(_places(configured), 0)
-    context.places.learn([ControlPlace(*_plain(one)) for one in _places(told)])
+    context.places = ControlHostSelector(_places(configured), 0)
+    context.places.set_learned([ControlPlace(*_plain(one)) for one in _places(told)])
 
 
 def _plain(endpoint):
@@ -214,17 +214,17 @@
 @then('while none of them grants a lease, the next ones tried are "{tried}"')
 def step_tried(context, tried):
     expected = tried.split()
-    assert [context.places.next().name for _ in expected] == expected
+    assert [context.places.next_host().name for _ in expected] == expected
 
 
 @given('an entry with the control hosts "{configured}" that was told of {count:d} others')
 def step_told_many(context, configured, count):
-    context.places = ControlPlaces(_places(configured), 0)
+    context.places = ControlHostSelector(_places(configured), 0)
     others = [ControlPlace(f"other-{number}", LOOPBACK, 8000 + number) for number in range(count)]
-    context.places.learn(others)
+    context.places.set_learned(others)
 
 
 @then('it remembers {count:d} of them and still tries "{name}"')
 def step_remembers(context, count, name):
-    tried = [context.places.next().name for _ in range(count + 1)]
+    tried = [context.places.next_host().name for _ in range(count + 1)]
     assert len(set(tried)) == count + 1 and tried[-1] == name
--- a/src/alderhatch/entry/_control_session.py
+++ b/src/alderhatch/entry/_control_session.py
@@ -1,4 +1,4 @@
-"""One link of an entry to a control host: renewals, what control pushes, operations."""
+"""One link from an entry to a control host: lease renewals, pushed updates and operations."""
 
 from __future__ import annotations
 
@@ -21,125 +21,128 @@
 from ..log import log_event
 from ..log_events import LogEvent
 from ..signal import Signal
-from ._control_calls import ControlCalls
+from ._operation_batcher import OperationBatcher
 
 ANSWER_TIMEOUT: Millis = 800.0
-"""Without an answer to a renewal for this long, another control host is tried."""
+"""If a renewal is not answered within this time, the next control host is tried."""
 ANSWER_TIMEOUTS_PER_LEASE = 4.0
-"""The same as a part of a short lease, so that there is time left for another control host."""
-FAILED_INTERVAL: Millis = 100.0
-MAX_FAILURES = 10
-"""Renewals in a row for which the control host found no leader, before another host is tried."""
+"""Answer timeouts that fit into a lease. Limits the timeout of short leases, so that there is time
+left for another control host."""
+FAILED_RENEWAL_INTERVAL: Millis = 100.0
+MAX_FAILED_RENEWALS = 10
+"""Consecutive renewals without a leader after which the next control host is tried."""
 RENEWALS_PER_LEASE = 3.0
-DENIED_INTERVAL: Millis = 5 * SECOND
+DENIED_RENEWAL_INTERVAL: Millis = 5 * SECOND
 
 
-class Hurry:
-    """Remembers that a renewal is due at once, also while another one is on its way."""
+class RenewalTrigger:
+    """Requests immediate lease renewals; a request made during a renewal triggers another one."""
 
     def __init__(self) -> None:
-        self._wanted = False
-        self._last_wanted = False
+        self._requested = False
+        self._final_requested = False
         self._signal = Signal()
-        self.ended = trio.Event()
-        """Set when the last renewal has been answered; none follows it."""
+        self.final_answered = trio.Event()
+        """Set when the final renewal has been answered; no renewal follows it."""
 
     def request(self) -> None:
-        """Ask for a renewal at once."""
-        self._wanted = True
+        """Request an immediate renewal."""
+        self._requested = True
         self._signal.notify()
 
-    def request_last(self) -> None:
-        """Ask for one more renewal, and none after it."""
-        self._last_wanted = True
+    def request_final(self) -> None:
+        """Request one more renewal and none after it."""
+        self._final_requested = True
         self.request()
 
-    def clear(self) -> bool:
-        """Note that a renewal is being sent; return whether it is the last one."""
-        self._wanted = False
-        return self._last_wanted
+    def begin_renewal(self) -> bool:
+        """Clear the request because a renewal is being sent; return whether it is the final one."""
+        self._requested = False
+        return self._final_requested
 
     async def wait_for(self, timeout: Millis) -> None:
-        """Wait for a request, but not longer than the timeout."""
-        if not self._wanted:
+        """Wait for a request, at most for the timeout."""
+        if not self._requested:
             await self._signal.wait_for(timeout)
 
 
 class ControlSession:
-    """Runs over one link until it is of no more use."""
+    """Renews the lease over one link until the link is unusable."""
 
     def __init__(
         self,
         lease: EntryLease,
-        calls: ControlCalls,
+        batcher: OperationBatcher,
         clock: Clock,
-        hurry: Hurry,
+        trigger: RenewalTrigger,
         on_change: Callable[[], None],
     ) -> None:
-        """Prepare; ``run`` uses a link.
+        """Create a session; ``run`` starts it on a link.
 
         Args:
             lease: The entry's lease, which outlives the link.
-            calls: The operations to send.
-            clock: The entry's time.
-            hurry: Says when a renewal is due at once.
+            batcher: Provides the operations to send.
+            clock: The entry's clock.
+            trigger: Requests immediate renewals.
             on_change: Called when the view, the lease or the share has changed.
         """
         self._lease = lease
-        self._calls = calls
+        self._batcher = batcher
         self._clock = clock
-        self._hurry = hurry
+        self._trigger = trigger
         self._on_change = on_change
         self._answered = trio.Event()
-        self._taken: GrantOutcome | None = None
+        self._outcome: GrantOutcome | None = None
         self._interval: Millis = 0.0
         self._answer_timeout = ANSWER_TIMEOUT
-        self._denied = ""
+        self._last_problem = ""
         self._next_confirmation: Millis = 0.0
         self._failures = 0
 
     async def run(self, link: Link) -> None:
-        """Renew over the link; return when it is closed, silent, or finds no leader."""
+        """Renew the lease; return if the link closes or is silent, or the host finds no leader."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read, link, nursery.cancel_scope)
-            nursery.start_soon(self._calls.send_over, link)
+            nursery.start_soon(self._batcher.send_on, link)
             with suppress(LinkClosedError):
                 await self._renew(link)
             nursery.cancel_scope.cancel()
 
     async def _renew(self, link: Link) -> None:
-        if self._hurry.ended.is_set():
+        if self._trigger.final_answered.is_set():
             await trio.sleep_forever()
-        while self._failures < MAX_FAILURES:
+        while self._failures < MAX_FAILED_RENEWALS:
             self._answered = trio.Event()
-            self._taken = None
-            is_last = self._hurry.clear()
+            self._outcome = None
+            is_final = self._trigger.begin_renewal()
             version = self._lease.view.version
             await link.send(self._lease.renewal(self._clock.now()))
             with trio.move_on_after(self._answer_timeout / SECOND):
                 await self._answered.wait()
             if not self._answered.is_set():
-                # The connection may be silent for good while new ones work. Waiting for it would
-                # cost the lease, so the next control host is tried while there is time.
+                # The connection may stay silent while new connections work. The next control host
+                # is tried before the lease expires.
                 return
-            if self._taken is GrantOutcome.WENT_BACK:
+            if self._outcome is GrantOutcome.WENT_BACK:
                 return
-            if is_last and self._taken is not None:
-                # A renewal that arrived after the goodbye would register the entry again, and
-                # callers would be sent to a process that has exited.
-                self._hurry.ended.set()
-            if self._hurry.ended.is_set():
+            if is_final and self._outcome is not None:
+                # A renewal that arrived after the deregistration would register the entry again,
+                # and callers would be sent to a process that has exited.
+                self._trigger.final_answered.set()
+            if self._trigger.final_answered.is_set():
                 await trio.sleep_forever()
-            await self._hurry.wait_for(self._pause(has_news=self._lease.view.version != version))
+            await self._trigger.wait_for(
+                self._renewal_delay(has_updates=self._lease.view.version != version)
+            )
 
-    def _pause(self, has_news: bool) -> Millis:
-        """Return how long to wait before the next renewal; news are confirmed at once."""
-        if self._taken is not GrantOutcome.RENEWED or not has_news:
+    def _renewal_delay(self, has_updates: bool) -> Millis:
+        """Return the delay before the next renewal; updates are confirmed as early as allowed."""
+        if self._outcome is not GrantOutcome.RENEWED or not has_updates:
             return self._interval
         now = self._clock.now()
-        pause = max(0.0, self._next_confirmation - now)
-        self._next_confirmation = now + pause + min_renewal_interval(len(self._lease.view.roster))
-        return min(pause, self._interval)
+        delay = max(0.0, self._next_confirmation - now)
+        self._next_confirmation = now + delay + min_renewal_interval(len(self._lease.view.roster))
+        return min(delay, self._interval)
 
     async def _read(self, link: Link, scope: trio.CancelScope) -> None:
         try:
@@ -154,23 +157,23 @@
                 self._on_grant(message)
             case RenewalFailed():
                 self._failures += 1
-                self._interval = FAILED_INTERVAL
+                self._interval = FAILED_RENEWAL_INTERVAL
                 self._answered.set()
             case Nudge(version, updates) if version > self._lease.view.version:
                 if self._lease.apply_pushed_updates(updates):
                     self._on_change()
-                self._hurry.request()
+                self._trigger.request()
             case OperationAnswers() | OperationsFailed():
-                self._calls.take(message)
+                self._batcher.on_reply(message)
             case _:
                 return
 
     def _on_grant(self, reply: GrantReply) -> None:
-        taken = self._lease.apply_grant(reply, self._clock.now())
-        if taken is GrantOutcome.IGNORED:
+        outcome = self._lease.apply_grant(reply, self._clock.now())
+        if outcome is GrantOutcome.IGNORED:
             return
-        self._taken = taken
-        match taken:
+        self._outcome = outcome
+        match outcome:
             case GrantOutcome.RENEWED:
                 self._failures = 0
                 lease = reply.grant.lease
@@ -180,14 +183,14 @@
                 log_event(LogEvent.CONTROL_WENT_BACK, version=self._lease.view.version)
             case _:
                 self._interval = min_renewal_interval(len(self._lease.view.roster))
-                self._note_problem(reply.grant.problem)
+                self._report_problem(reply.grant.problem)
         self._answered.set()
         self._on_change()
 
-    def _note_problem(self, problem: str) -> None:
+    def _report_problem(self, problem: str) -> None:
         if not problem:
             return
-        self._interval = DENIED_INTERVAL
-        if problem != self._denied:
+        self._interval = DENIED_RENEWAL_INTERVAL
+        if problem != self._last_problem:
             log_event(LogEvent.LEASE_DENIED, why=problem)
-        self._denied = problem
+        self._last_problem = problem
--- a/src/alderhatch/entry/_control_calls.py
+++ b/src/alderhatch/entry/_operation_batcher.py
@@ -1,4 +1,4 @@
-"""Operations that an entry asks control for, whatever link is open at the time."""
+"""Sends operations to control in batches, over whichever link is open."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 from ..link import Link, LinkClosedError
 from ..signal import Signal
 
-MAX_OPERATIONS = 128
-"""Operations in one message."""
-MAX_WAITING = 4096
+MAX_MESSAGE_OPERATIONS = 128
+"""Operations per message."""
+MAX_WAITING_CALLS = 4096
+"""Calls that may wait to be sent; further ones fail immediately."""
 
 
 @dataclass(slots=True, eq=False)
@@ -26,32 +27,33 @@
     answers: list[Answer] | None = None
 
 
-class ControlCalls:
-    """Gathers operations that wait at the same time into one message.
+class OperationBatcher:
+    """Combines operations that wait at the same time into one message.
 
-    Nothing is sent again by itself: whoever asked knows whether asking again is harmless.
+    Operations are never resent automatically: only the submitter knows whether a resend is safe.
     """
 
     def __init__(self) -> None:
         self._waiting: deque[_Call] = deque()
         self._sent: dict[int, list[_Call]] = {}
-        self._number = 0
-        self._added = Signal()
+        self._message_number = 0
+        self._call_added = Signal()
 
-    async def ask(self, operations: Sequence[bytes]) -> list[Answer] | None:
-        """Ask for operations and wait for their answers.
+    async def submit(self, operations: Sequence[bytes]) -> list[Answer] | None:
+        """Submit operations and wait for their answers.
 
         Args:
             operations: Encoded operations.
 
         Returns:
-            Their answers in order; None if none came, so that they may or may not be applied.
+            The answers in order, or None if there was no answer; the operations may then have been
+            applied or not.
         """
-        if len(self._waiting) >= MAX_WAITING:
+        if len(self._waiting) >= MAX_WAITING_CALLS:
             return None
         call = _Call(operations)
         self._waiting.append(call)
-        self._added.notify()
+        self._call_added.notify()
         try:
             await call.done.wait()
         finally:
@@ -59,22 +61,22 @@
                 self._waiting.remove(call)
         return call.answers
 
-    async def send_over(self, link: Link) -> None:
-        """Send what waits over a link until it closes or this is cancelled."""
+    async def send_on(self, link: Link) -> None:
+        """Send waiting operations over a link until it closes or this task is cancelled."""
         try:
             while True:
                 while not self._waiting:
-                    await self._added.wait()
+                    await self._call_added.wait()
                 await self._send(link)
         finally:
             self._drop_sent()
 
-    def take(self, message: OperationAnswers | OperationsFailed) -> None:
-        """Hand out what came back."""
+    def on_reply(self, message: OperationAnswers | OperationsFailed) -> None:
+        """Distribute the answers of a message to the calls that wait for them."""
         calls = self._sent.pop(message.number, [])
         answers: list[Answer] = []
         if isinstance(message, OperationAnswers):
-            answers = _decoded(message.answers)
+            answers = _decode_answers(message.answers)
         start = 0
         for call in calls:
             part = answers[start : start + len(call.operations)]
@@ -85,14 +87,14 @@
     async def _send(self, link: Link) -> None:
         calls = [self._waiting.popleft()]
         count = len(calls[0].operations)
-        while self._waiting and count + len(self._waiting[0].operations) <= MAX_OPERATIONS:
+        while self._waiting and count + len(self._waiting[0].operations) <= MAX_MESSAGE_OPERATIONS:
             calls.append(self._waiting.popleft())
             count += len(calls[-1].operations)
-        self._number += 1
-        self._sent[self._number] = calls
+        self._message_number += 1
+        self._sent[self._message_number] = calls
         operations = [operation for call in calls for operation in call.operations]
         try:
-            await link.send(Operations(self._number, operations))
+            await link.send(Operations(self._message_number, operations))
         except LinkClosedError:
             self._drop_sent()
             await trio.sleep_forever()
@@ -104,7 +106,7 @@
         self._sent.clear()
 
 
-def _decoded(raw: Sequence[bytes]) -> list[Answer]:
+def _decode_answers(raw: Sequence[bytes]) -> list[Answer]:
     try:
         return [ANSWERS_CODEC.decode(data) for data in raw]
     except AlderhatchError:
--- a/src/alderhatch/entry/address_book.py
+++ b/src/alderhatch/entry/address_book.py
@@ -1,4 +1,4 @@
-"""Which addresses callers are told to use."""
+"""The entry addresses that are advertised to callers."""
 
 from __future__ import annotations
 
@@ -12,67 +12,69 @@
 
 
 class EntryAddress(NamedTuple):
-    """One entry as callers reach it."""
+    """The address of one entry for callers."""
 
     address: str
     """An IP address."""
     port: int
     zone: str
     leaving: bool = False
-    """Whether control knows that it is stopping."""
+    """Whether control reports that the entry is stopping."""
 
 
 class WeightedAddress(NamedTuple):
-    """One line of an answer about addresses."""
+    """An address in an answer, with its weight."""
 
     address: str
     port: int
     zone: str
     weight: int
-    """How much of the caller's work should go there, compared with the other lines."""
+    """The share of the caller's requests, relative to the weights of the other addresses."""
 
 
 class AddressBook:
-    """Answers which of the addresses to use, and for how long.
+    """Selects the entry addresses for a caller.
 
     Args:
-        ttl: How long callers keep an answer, in milliseconds.
+        ttl: How long callers may cache an answer, in milliseconds.
     """
 
     def __init__(self, ttl: Millis) -> None:
         self.ttl = ttl
         self.roster: tuple[EntryAddress, ...] = ()
-        """Every entry that control knows of; this one alone where there is no control."""
+        """All entries that control knows; only this entry if it runs without control."""
         self.platform_leaving: Collection[tuple[str, int]] = ()
-        """Addresses with ports that the platform says are leaving."""
-        self._left: set[tuple[str, int]] = set()
+        """Addresses and ports that the platform reports as leaving."""
+        self._excluded: set[tuple[str, int]] = set()
 
-    def leave(self, address: str, port: int) -> None:
-        """Name an entry in no answer from now on."""
-        self._left.add((address, port))
+    def exclude(self, address: str, port: int) -> None:
+        """Exclude an entry from all further answers."""
+        self._excluded.add((address, port))
 
-    def answer(self, zone: str) -> list[WeightedAddress]:
-        """Return the addresses for a caller, its own zone's first.
+    def addresses_for(self, zone: str) -> list[WeightedAddress]:
+        """Return the addresses for a caller, those in its own zone first.
 
         Args:
-            zone: The caller's availability zone; empty if it did not say.
+            zone: The caller's availability zone; empty if unknown.
         """
-        gone = self._left.union(self.platform_leaving)
-        staying = [
-            item
-            for item in self.roster
-            if not item.leaving and (item.address, item.port) not in gone
+        excluded = self._excluded.union(self.platform_leaving)
+        remaining = [
+            entry
+            for entry in self.roster
+            if not entry.leaving and (entry.address, entry.port) not in excluded
         ]
-        # A caller whose answer were empty could not ask anybody any more, so the last ones are
-        # named even though they leave: they still say truly that nothing ran.
-        chosen = staying or list(self.roster)
-        ordered = sorted(chosen, key=lambda item: (item.zone != zone, item.address, item.port))
-        return [self._weighted(item, zone, ordered) for item in ordered]
+        # With an empty answer a caller could not reach any entry. If all entries are leaving, they
+        # are advertised nevertheless: they still report reliably that a request did not run.
+        candidates = remaining or list(self.roster)
+        ordered = sorted(
+            candidates, key=lambda entry: (entry.zone != zone, entry.address, entry.port)
+        )
+        return [self._weighted(entry, zone, ordered) for entry in ordered]
 
     def _weighted(
-        self, item: EntryAddress, zone: str, all_of: list[EntryAddress]
+        self, entry: EntryAddress, zone: str, listed: list[EntryAddress]
     ) -> WeightedAddress:
-        own_zone_known = any(other.zone == zone for other in all_of)
-        near = item.zone == zone or not own_zone_known
-        weight = OWN_ZONE_WEIGHT if near else OTHER_ZONE_WEIGHT
-        return WeightedAddress(item.address, item.port, item.zone, weight)
+        zone_has_entry = any(other.zone == zone for other in listed)
+        preferred = entry.zone == zone or not zone_has_entry
+        weight = OWN_ZONE_WEIGHT if preferred else OTHER_ZONE_WEIGHT
+        return WeightedAddress(entry.address, entry.port, entry.zone, weight)
--- a/src/alderhatch/entry/app.py
+++ b/src/alderhatch/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry as a program: listeners, signals and the planned stop."""
+"""The entry program: listeners, signals and the planned stop."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from .operator_handler import OperatorHandler
 
 FILE_REVISION = 1
-"""The revision of rules that were read from a file."""
-DRAIN_CHECK_EVERY: Millis = 10.0
-MAX_OPERATORS = 50
+"""The revision of rules that are read from a file."""
+DRAIN_POLL_INTERVAL: Millis = 10.0
+MAX_OPERATOR_CONNECTIONS = 50
 ADDRESS_MARGIN: Millis = 250.0
-"""How much later than the time to live a caller may still connect by an answer: it was on its way
-for a moment, and so is the request."""
+"""How long after the time to live of an answer a caller may still connect, because the answer and
+the request take time to arrive."""
 
 
 async def run_entry(
@@ -40,30 +40,31 @@
     make_control: ControlHookMaker | None = None,
     task_status: trio.TaskStatus[EntryNode] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run an entry until a planned stop is through.
+    """Run an entry until a planned stop is complete.
 
-    SIGTERM or SIGINT begins the planned stop; a second one ends the process at once.
+    SIGTERM or SIGINT starts the planned stop; a second signal ends the process immediately.
 
     Args:
         cfg: The settings.
-        make_control: Makes the link to the control hosts; the one of ``cfg.controls`` if none is
-            given.
-        task_status: Given the entry once it takes requests.
+        make_control: Creates the link to the control hosts; by default they are taken from
+            ``cfg.controls``.
+        task_status: Receives the entry once it accepts requests.
 
     Raises:
-        OSError: If an address can't be listened on, or the file of rules can't be read.
-        RuleFaultsError: If the file of rules has mistakes.
+        AlderhatchError: If the settings lack ``controls`` or ``secret_file`` where one is required.
+        OSError: If an address can't be bound, or the rules file can't be read.
+        RuleFaultsError: If the rules file has errors.
     """
     rules = _read_rules(cfg)
     secret = read_secret(cfg.secret_file) if cfg.links and cfg.secret_file else None
-    node = EntryNode(cfg, make_control=make_control or _control_of(cfg), secret=secret)
+    node = EntryNode(cfg, make_control=make_control or _control_maker(cfg), secret=secret)
     async with trio.open_nursery() as nursery:
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             if rules is not None:
                 node.change_rules(FILE_REVISION, rules)
             await nursery.start(node.run)
             await _serve_operators(nursery, node)
-            # What lives as long as the process need not be walked through by each collection.
+            # Excludes objects that live as long as the process from garbage collection.
             gc.collect()
             gc.freeze()
             task_status.started(node)
@@ -73,14 +74,18 @@
             nursery.cancel_scope.cancel()
 
 
-def _control_of(cfg: EntrySettings) -> ControlHookMaker | None:
+def _control_maker(cfg: EntrySettings) -> ControlHookMaker | None:
     if not cfg.controls:
         if cfg.links is not None:
-            raise AlderhatchError(Failure(ErrorKind.BAD_REQUEST, "links need controls", "links"))
+            raise AlderhatchError(
+                Failure(ErrorKind.BAD_REQUEST, "links is set, but controls is empty", "links")
+            )
         return None
     if cfg.secret_file is None:
         raise AlderhatchError(
-            Failure(ErrorKind.BAD_REQUEST, "controls need a secret_file", "secret_file")
+            Failure(
+                ErrorKind.BAD_REQUEST, "controls is set, but secret_file is missing", "secret_file"
+            )
         )
     return partial(ControlLink, secret=read_secret(cfg.secret_file))
 
@@ -92,10 +97,10 @@
 
 
 async def _serve_operators(nursery: trio.Nursery, node: EntryNode) -> None:
-    where = node.cfg.operators
-    listeners = await trio.open_tcp_listeners(where.port, host=where.address)
+    endpoint = node.cfg.operators
+    listeners = await trio.open_tcp_listeners(endpoint.port, host=endpoint.address)
     node.operator_port = listeners[0].socket.getsockname()[1]
-    limits = HttpLimits(connections=MAX_OPERATORS)
+    limits = HttpLimits(connections=MAX_OPERATOR_CONNECTIONS)
     await nursery.start(partial(serve_http, listeners, OperatorHandler(node).handle, limits))
 
 
@@ -110,32 +115,33 @@
 
 
 async def planned_stop(node: EntryNode) -> None:
-    """Take an entry out of service without cutting off a request.
+    """Take an entry out of service without interrupting requests.
 
-    Callers keep an answer about addresses for a while and connect by it. So the entry first
-    leaves the answers and serves on until the last answer that names it has run out; only then
-    does it refuse, and what runs goes on to its end, within the limit of the settings.
+    Callers cache the entries' addresses. Therefore the entry first withdraws its address and
+    continues to serve until the last answer that contains it has expired. Then it refuses new
+    requests, and running ones may complete within ``drain_ms``.
 
     Args:
-        node: The entry, which runs on until it is cancelled.
+        node: The entry; it keeps running until it is cancelled.
     """
     log_event(LogEvent.ENTRY_STOPPING, name=node.cfg.name)
     clock = LoopClock()
     end = clock.now() + node.cfg.drain_ms
     node.request_stop()
-    node.leave_addresses()
+    node.withdraw_address()
     await trio.sleep((node.cfg.address_ttl_ms + ADDRESS_MARGIN) / SECOND)
     node.callers.closing = True
     node.feed(StopRequested())
     if node.owner_server is not None:
-        # Others are told not_sent, truly, and go to another owner at once.
+        # Other entries receive a reliable not_sent and switch to another owner immediately.
         node.owner_server.closing = True
     while (node.callers.exchanges or node.running_for_others) and clock.now() < end:
-        await trio.sleep(DRAIN_CHECK_EVERY / SECOND)
+        await trio.sleep(DRAIN_POLL_INTERVAL / SECOND)
     cut_off = node.callers.exchanges + node.running_for_others
-    await node.say_goodbye()
-    # A caller's time to live starts when its answer arrives, and other entries name this one until
-    # control has told them. Whoever still comes is refused truly and told of the other addresses;
-    # a closed port would look like a lost request.
+    await node.deregister()
+    # The time to live starts when the answer reaches the caller, and other entries advertise this
+    # one until control has informed them. Meanwhile late callers are told reliably that their
+    # request did not run, and get the other addresses; a closed port would look like a lost
+    # request.
     await trio.sleep(node.cfg.address_ttl_ms / SECOND)
     log_event(LogEvent.ENTRY_STOPPED, name=node.cfg.name, cut_off=cut_off)
--- a/src/alderhatch/entry/caller_api.py
+++ b/src/alderhatch/entry/caller_api.py
@@ -1,4 +1,4 @@
-"""The caller API: HTTP bodies to and from the core's types."""
+"""The caller API: conversion between HTTP bodies and the core's types."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..http.messages import HttpRequest, HttpResponse, failure_response
 
-Word = Annotated[str, Field(min_length=1, max_length=200)]
+ShortText = Annotated[str, Field(min_length=1, max_length=200)]
 
 
 class QueryBody(TypedDict, total=False):
@@ -24,41 +24,41 @@
 
     __pydantic_config__ = ConfigDict(extra="forbid")  # type: ignore[misc]
 
-    request_id: Word
-    caller: Word
-    kind: Word
-    upstream: Word
-    zone: Word
-    key: Word
+    request_id: ShortText
+    caller: ShortText
+    kind: ShortText
+    upstream: ShortText
+    zone: ShortText
+    key: ShortText
     priority: Priority
     deadline_ms: Annotated[Millis, Field(gt=0, le=MAX_DEADLINE_MS)]
     query: dict[str, Any]
 
 
-REQUIRED = ("request_id", "caller", "kind", "upstream", "query")
+REQUIRED_FIELDS = ("request_id", "caller", "kind", "upstream", "query")
 _BODY = TypeAdapter(QueryBody)
 
 
 def parse_request(req: HttpRequest, idempotent: bool) -> Request:
-    """Read a caller's request.
+    """Parse a caller's request.
 
     Args:
         req: The HTTP request.
-        idempotent: Whether the request may be repeated; that follows from its path.
+        idempotent: Whether the request may be retried, as determined by its path.
 
     Raises:
-        AlderhatchError: With kind ``bad_request``, naming the field.
+        AlderhatchError: With kind ``bad_request`` and the name of the invalid field.
     """
     try:
         body = _BODY.validate_python(orjson.loads(req.body))
     except orjson.JSONDecodeError as exc:
-        raise _bad("body", f"not JSON: {exc}") from exc
+        raise _bad_request("body", f"not JSON: {exc}") from exc
     except ValidationError as exc:
         first = exc.errors()[0]
-        raise _bad(".".join(map(str, first["loc"])) or "body", first["msg"]) from exc
-    for field in REQUIRED:
+        raise _bad_request(".".join(map(str, first["loc"])) or "body", first["msg"]) from exc
+    for field in REQUIRED_FIELDS:
         if field not in body:
-            raise _bad(field, "missing")
+            raise _bad_request(field, "required field is missing")
     return Request(
         body["request_id"],
         body["caller"],
@@ -75,7 +75,7 @@
 
 
 def outcome_response(request_id: str, outcome: Outcome) -> HttpResponse:
-    """Return the HTTP response that shows an outcome to its caller."""
+    """Return the HTTP response for an outcome."""
     match outcome:
         case Answered():
             return HttpResponse(200, orjson.dumps(_answer_body(request_id, outcome)))
@@ -95,5 +95,5 @@
     }
 
 
-def _bad(field: str, message: str) -> AlderhatchError:
+def _bad_request(field: str, message: str) -> AlderhatchError:
     return AlderhatchError(Failure(ErrorKind.BAD_REQUEST, f"{field}: {message}", field))
--- a/src/alderhatch/entry/caller_handler.py
+++ b/src/alderhatch/entry/caller_handler.py
@@ -1,4 +1,4 @@
-"""The callers' side of an entry: its HTTP paths."""
+"""The HTTP endpoints of an entry for callers."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class RequestRunner(Protocol):
-    """What runs callers' requests."""
+    """Runs the requests of callers."""
 
     addresses: AddressBook
     upstreams: frozenset[str]
-    """The names of the upstreams that there are."""
+    """The names of the configured upstreams."""
 
-    async def outcome_of(self, request: Request) -> Outcome:
+    async def run_request(self, request: Request) -> Outcome:
         """Run one request."""
 
 
 class CallerHandler:
-    """Answers callers.
+    """Answers the requests of callers.
 
     Args:
         runner: Runs the requests.
@@ -37,7 +37,7 @@
         """Answer one HTTP request of a caller.
 
         Raises:
-            AlderhatchError: If it was no request of the caller API.
+            AlderhatchError: If the request is invalid, or its path or upstream is unknown.
         """
         match (req.method, req.path):
             case ("POST", "/query"):
@@ -46,16 +46,18 @@
                 return await self._run(parse_request(req, idempotent=False))
             case ("GET", "/addresses"):
                 return self._addresses(req.query.get("zone", ""))
-        raise AlderhatchError(Failure(ErrorKind.NOT_FOUND, f"nothing at {req.method} {req.path}"))
+        raise AlderhatchError(
+            Failure(ErrorKind.NOT_FOUND, f"no resource at {req.method} {req.path}")
+        )
 
     async def _run(self, request: Request) -> HttpResponse:
         if request.upstream not in self._runner.upstreams:
             message = f"upstream: no upstream {request.upstream!r} is configured"
             raise AlderhatchError(Failure(ErrorKind.UNKNOWN_UPSTREAM, message, "upstream"))
-        outcome = await self._runner.outcome_of(request)
+        outcome = await self._runner.run_request(request)
         return outcome_response(request.request_id, outcome)
 
     def _addresses(self, zone: str) -> HttpResponse:
         book = self._runner.addresses
-        addresses = [item._asdict() for item in book.answer(zone)]
+        addresses = [item._asdict() for item in book.addresses_for(zone)]
         return json_response(200, {"addresses": addresses, "ttl_ms": book.ttl})
--- a/src/alderhatch/entry/control_hook.py
+++ b/src/alderhatch/entry/control_hook.py
@@ -1,4 +1,4 @@
-"""What an entry and its link to the control hosts ask of each other."""
+"""The interfaces between an entry and its link to the control hosts."""
 
 from __future__ import annotations
 
@@ -14,53 +14,53 @@
 from .owner_client import OwnerClient
 
 ControlEffect: TypeAlias = ClaimRun | RecordOutcome | ReportCrash
-"""What the core asks of control."""
+"""Effects of the core that control executes."""
 
 
 class EntryHooks(Protocol):
-    """What the link to control may see of its entry and do to it."""
+    """The part of an entry that its link to control uses."""
 
     cfg: EntrySettings
     port: int
-    """The port that callers connect to; it listens by the time the link runs."""
+    """The port for callers; it is open when the link starts."""
     link_port: int
-    """The port for links of other entries; 0 if it takes none."""
+    """The port for links from other entries; 0 if it accepts none."""
     owners: OwnerClient | None
-    """Reaches servers through other entries."""
+    """Reaches servers through other entries; None if there are no links between entries."""
 
     def feed(self, event: EntryEvent) -> None:
-        """Tell the core what happened."""
+        """Pass an event to the core."""
 
     def known_servers(self) -> Iterable[Server]:
         """Return the servers of all shard maps."""
 
     def within_shares(self) -> bool:
-        """Return whether no server may count more connections than the present share."""
+        """Return whether no server has more connections than the current share allows."""
 
     def set_roster(self, roster: Iterable[EntryAddress]) -> None:
-        """Take the entries that callers may be told of."""
+        """Set the entries that may be advertised to callers."""
 
     def request_stop(self) -> None:
-        """Begin a planned stop."""
+        """Request a planned stop."""
 
 
 class ControlHook(Protocol):
-    """The link to the control hosts, as the entry sees it."""
+    """The link to the control hosts as used by the entry."""
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Keep the link until cancelled."""
+        """Maintain the link until cancelled."""
 
     async def wait_share(self) -> None:
-        """Wait until there is a live lease with a share of the servers' connections."""
+        """Wait for a valid lease with a share of the servers' connections."""
 
-    def carry_out(self, effect: ControlEffect) -> None:
-        """Begin what the core asked for; it must not wait."""
+    def execute(self, effect: ControlEffect) -> None:
+        """Start to execute an effect of the core, without blocking."""
 
-    def servers_changed(self) -> None:
-        """Take note that a shard map has changed, so that new servers get their shares."""
+    def on_servers_changed(self) -> None:
+        """Handle a changed shard map, so that new servers get their shares."""
 
     async def leave(self) -> None:
-        """Say goodbye at the end of a planned stop, when no connection is open any more."""
+        """Deregister at the end of a planned stop, when all connections are closed."""
 
 
 ControlHookMaker: TypeAlias = Callable[[EntryHooks], ControlHook]
--- a/src/alderhatch/entry/control_link.py
+++ b/src/alderhatch/entry/control_link.py
@@ -1,4 +1,4 @@
-"""Turns what control says into events of the core, and what the core asks for into claims."""
+"""Translates updates from control into events of the core, and effects of the core into calls."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from .control_hook import ControlEffect, EntryHooks
 from .owner_client import OwnerPlace
 
-CONTROL = "control"
-LOOK_EVERY: Millis = 50.0
+CONTROL_SOURCE = "control"
+POLL_INTERVAL: Millis = 50.0
 LEAVE_TIMEOUT: Millis = 2000.0
-NEVER: Millis = 0.0
-FEWEST_THROUGH_OWNERS = 4
-"""Requests of this entry that may be out at a server through its owners, however many entries there
-are; the owners refuse what is too much for the server."""
+NOT_SERVING: Millis = 0.0
+MIN_REQUESTS_VIA_OWNERS = 4
+"""Minimum number of this entry's requests that may be in flight at a server through its owners,
+regardless of the number of entries; the owners refuse requests that would overload the server."""
 
-_CLAIMS = {
+_CLAIM_DECISIONS = {
     ClaimStatus.GRANTED: Claim.GRANTED,
     ClaimStatus.STORED: Claim.DONE,
     ClaimStatus.IN_PROGRESS: Claim.IN_PROGRESS,
@@ -50,7 +50,7 @@
 
     Args:
         entry: The entry.
-        secret: The secret shared by our own processes.
+        secret: The secret shared by all processes of the tier.
     """
 
     def __init__(self, entry: EntryHooks, secret: bytes) -> None:
@@ -66,39 +66,39 @@
 
     @property
     def client(self) -> ControlClient:
-        """The client; there is one from the start of ``run`` on."""
+        """The client; available once ``run`` has started."""
         assert self._client is not None
         return self._client
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Keep the link until cancelled."""
+        """Maintain the link until cancelled."""
         cfg = self._entry.cfg
         links = (cfg.links.address, self._entry.link_port) if cfg.links is not None else ("", 0)
-        me = EntryIdentity(
+        identity = EntryIdentity(
             cfg.name, uuid.uuid4().hex, cfg.zone, cfg.callers.address, self._entry.port, *links
         )
-        self._client = ControlClient(me, cfg.controls, self._secret, self._clock)
-        # Until the first lease is there, the core must not take the entry for one without control.
-        self._entry.feed(LeaseChanged(NEVER, {}, frozenset()))
+        self._client = ControlClient(identity, cfg.controls, self._secret, self._clock)
+        # Before the first lease, the core must not treat the entry as one without control.
+        self._entry.feed(LeaseChanged(NOT_SERVING, {}, frozenset()))
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await nursery.start(self._client.run)
             task_status.started()
             while True:
-                self._look()
-                await self._client.changed.wait_for(LOOK_EVERY)
+                self._apply_view()
+                await self._client.changed.wait_for(POLL_INTERVAL)
 
     async def wait_share(self) -> None:
-        """Wait until there is a live lease with a share of the servers' connections."""
+        """Wait for a valid lease with a share of the servers' connections."""
         await self.client.wait_ready()
 
-    def servers_changed(self) -> None:
-        """Take note that a shard map has changed, so that new servers get their shares."""
+    def on_servers_changed(self) -> None:
+        """Handle a changed shard map, so that new servers get their shares."""
         if self._client is not None:
-            self._look()
+            self._apply_view()
 
-    def _look(self) -> None:
-        """Tell the core what is new."""
+    def _apply_view(self) -> None:
+        """Pass the changes of the view to the core and the entry."""
         view = self.client.view
         if view.revision > self._revision:
             self._revision = view.revision
@@ -109,9 +109,9 @@
             self._entry.feed(budgets)
         if self.client.leaving_server_ids != self._leaving:
             self._leaving = self.client.leaving_server_ids
-            self._entry.feed(ServersLeaving(CONTROL, self._leaving))
+            self._entry.feed(ServersLeaving(CONTROL_SOURCE, self._leaving))
         self._set_owners()
-        self._renew()
+        self._apply_lease()
         self._entry.set_roster(
             EntryAddress(row.address, row.port, row.zone, row.leaving)
             for row in view.roster.values()
@@ -119,7 +119,7 @@
         if self.client.stop_planned:
             self._entry.request_stop()
 
-    def _renew(self) -> None:
+    def _apply_lease(self) -> None:
         shares = {
             server.server_id: self.client.connection_limit(server)
             for server in self._entry.known_servers()
@@ -147,27 +147,29 @@
             server = servers.get(server_id)
             return () if server is None else self.client.owners(server)
 
-        owners.set_owners({n: place for n, place in places.items() if place.port}, owners_of)
+        owners.set_owners(
+            {owner: place for owner, place in places.items() if place.port}, owners_of
+        )
 
     def _request_limits(self, shares: dict[str, int]) -> dict[str, int]:
-        """Return how many requests may be out at each server, those through owners included."""
+        """Return the limits of requests in flight per server, including those through owners."""
         owners = self._entry.owners
         if owners is None or not self.client.share:
             return shares
         entries = max(1, len(self.client.view.roster))
         limits = {
-            server.server_id: max(FEWEST_THROUGH_OWNERS, server.max_connections // entries)
+            server.server_id: max(MIN_REQUESTS_VIA_OWNERS, server.max_connections // entries)
             for server in self._entry.known_servers()
             if not shares[server.server_id] and owners.reaches(server.server_id)
         }
         return shares | limits if limits else shares
 
-    def carry_out(self, effect: ControlEffect) -> None:
-        """Begin what the core asked for."""
+    def execute(self, effect: ControlEffect) -> None:
+        """Start to execute an effect of the core."""
         match effect:
             case ClaimRun():
                 assert self._nursery is not None
-                self._nursery.start_soon(partial(self._claim, effect))
+                self._nursery.start_soon(partial(self._run_claim, effect))
             case RecordOutcome(ran=Ran.NOT_RUN, caller=caller, request_id=request_id):
                 self.client.release_claim(caller, request_id)
             case RecordOutcome(caller=caller, request_id=request_id, outcome=outcome):
@@ -175,15 +177,15 @@
             case ReportCrash(fingerprint=fingerprint, server_id=server_id):
                 self.client.report_crash(fingerprint, server_id)
 
-    async def _claim(self, claim: ClaimRun) -> None:
+    async def _run_claim(self, claim: ClaimRun) -> None:
         try:
             answer = await self.client.claim(claim.caller, claim.request_id, claim.fingerprint)
         except AlderhatchError:
             self._entry.feed(ClaimDecided(claim.query, Claim.UNAVAILABLE))
             return
-        decided = _CLAIMS.get(answer.status, Claim.UNAVAILABLE)
-        self._entry.feed(ClaimDecided(claim.query, decided, answer.outcome))
+        decision = _CLAIM_DECISIONS.get(answer.status, Claim.UNAVAILABLE)
+        self._entry.feed(ClaimDecided(claim.query, decision, answer.outcome))
 
     async def leave(self) -> None:
-        """Say goodbye, so that the other entries get this one's share at once."""
+        """Deregister, so that the other entries get this entry's share immediately."""
         await self.client.leave(LEAVE_TIMEOUT)
--- a/src/alderhatch/entry/entry_metrics.py
+++ b/src/alderhatch/entry/entry_metrics.py
@@ -1,4 +1,4 @@
-"""The numbers that an entry shows to Prometheus."""
+"""The Prometheus metrics of an entry."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EntryMetrics:
-    """Counts requests by rule and outcome; the rest is read when somebody asks for the page.
+    """Counts requests by rule and outcome; other metrics are read when the page is rendered.
 
     Args:
         node: The entry.
@@ -26,26 +26,26 @@
         self._node = node
         self._clock = LoopClock()
         self._metrics = Metrics(node.cfg.name)
-        self._metrics.add_source(self._copy)
+        self._metrics.add_source(self._refresh)
 
-    def count(self, outcome: Outcome, span: Millis) -> None:
-        """Count one outcome and the time that it took, in milliseconds."""
+    def record_outcome(self, outcome: Outcome, duration: Millis) -> None:
+        """Count one outcome and its duration in milliseconds."""
         metrics = self._metrics
         match outcome:
             case Answered(rule=rule, coverage=coverage):
                 metrics.inc(Metric.ENTRY_REQUESTS, rule, ANSWERED)
-                metrics.observe(Metric.ENTRY_DURATION, span, rule)
+                metrics.observe(Metric.ENTRY_DURATION, duration, rule)
                 metrics.observe(Metric.ENTRY_COVERAGE, coverage, rule)
             case Refused(rule=rule, failure=failure):
                 metrics.inc(Metric.ENTRY_REQUESTS, rule, failure.kind)
 
-    def page(self) -> MetricsPage:
-        """Return the page in Prometheus' text format."""
+    def render_page(self) -> MetricsPage:
+        """Return the metrics in the Prometheus text format."""
         return self._metrics.render()
 
-    def _copy(self) -> None:
+    def _refresh(self) -> None:
         node = self._node
-        copied = {
+        values = {
             Metric.ENTRY_SHARD_REQUESTS: node.core.shard_requests_sent,
             Metric.ENTRY_SHARD_REQUESTS_NEEDED: node.core.shard_requests_needed,
             Metric.ENTRY_CONNECTIONS_OPENED: node.pool.opened,
@@ -56,7 +56,7 @@
             Metric.ENTRY_SHARD_REQUESTS_WASTED: node.core.shard_requests_wasted,
             Metric.ENTRY_REVISION: node.core.revision,
         }
-        for metric, value in copied.items():
+        for metric, value in values.items():
             self._metrics.set(metric, value)
         lease_left = node.core.lease_left(self._clock.now())
         if lease_left is not None:
--- a/src/alderhatch/entry/entry_node.py
+++ b/src/alderhatch/entry/entry_node.py
@@ -1,4 +1,4 @@
-"""The entry round its core: events in, effects out, one loop."""
+"""The entry process: passes events to the core and executes the effects that the core returns."""
 
 from __future__ import annotations
 
@@ -58,19 +58,20 @@
 from .upstream_lists import PlatformHost
 from .wake_timer import WakeTimer
 
-PLATFORM = "platform"
-FOREVER: Millis = float("inf")
-"""The end of the lease of an entry that runs without control."""
+PLATFORM_SOURCE = "platform"
+NO_EXPIRY: Millis = float("inf")
+"""The lease expiry of an entry that runs without control."""
 
 
 class EntryNode:
     """One entry process.
 
     Args:
-        cfg: Its settings.
-        seed: Fixes the core's random choices.
-        make_control: Makes the link to the control hosts; without one the entry runs alone.
-        secret: The secret shared by our own processes, for links with other entries.
+        cfg: The settings.
+        seed: The seed of the core's random choices.
+        make_control: Creates the link to the control hosts; if None, the entry runs without
+            control.
+        secret: The secret shared by all processes of the tier, for links with other entries.
     """
 
     def __init__(
@@ -94,40 +95,41 @@
         self.upstreams = frozenset(upstream.name for upstream in cfg.upstreams)
         self.callers = ServeState()
         self.map_pollers = [
-            MapPoller(upstream, self.pool, self._adopt, self.owners) for upstream in cfg.upstreams
+            MapPoller(upstream, self.pool, self._on_shard_map, self.owners)
+            for upstream in cfg.upstreams
         ]
-        self._probers = [
+        self._health_pollers = [
             HealthPoller(
                 upstream, self.pool, partial(getattr, poller, "newest"), self.feed, self.owners
             )
             for upstream, poller in zip(cfg.upstreams, self.map_pollers, strict=True)
         ]
         self.stop_requested = trio.Event()
-        """Set once somebody wants a planned stop."""
+        """Set once a planned stop has been requested."""
         self._control: ControlHook | None = make_control(self) if make_control else None
         self._timer = WakeTimer(partial(self.feed, Woke()))
-        self._waiting: dict[int, Callable[[Outcome], None]] = {}
+        self._finish_callbacks: dict[int, Callable[[Outcome], None]] = {}
         self._last_query = 0
         self._events: deque[EntryEvent] = deque()
-        self._stepping = False
-        self._serve_until = FOREVER
+        self._processing = False
+        self._serve_until = NO_EXPIRY
         self._has_share = make_control is None
-        self._hosts: list[PlatformHost] = []
-        self._leaving: frozenset[str] = frozenset()
+        self._leaving_hosts: list[PlatformHost] = []
+        self._leaving_server_ids: frozenset[str] = frozenset()
         self.metrics = EntryMetrics(self)
         self.port = 0
-        """The port that callers connect to, once it listens."""
+        """The port for callers, once it is open."""
         self.operator_port = 0
-        """The port of the operators' side, once it listens."""
+        """The port for operators, once it is open."""
         self.link_port = 0
-        """The port for links of other entries, once it listens; 0 if it takes none."""
+        """The port for links from other entries, once it is open; 0 if it accepts none."""
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled."""
-        where = self.cfg.callers
-        listeners = await trio.open_tcp_listeners(where.port, host=where.address)
+        endpoint = self.cfg.callers
+        listeners = await trio.open_tcp_listeners(endpoint.port, host=endpoint.address)
         self.port = listeners[0].socket.getsockname()[1]
-        self.set_roster([EntryAddress(where.address, self.port, self.cfg.zone)])
+        self.set_roster([EntryAddress(endpoint.address, self.port, self.cfg.zone)])
         serve = partial(
             serve_http, listeners, CallerHandler(self).handle, self._limits(), self.callers
         )
@@ -138,7 +140,7 @@
             nursery.start_soon(self._timer.run)
             if self._control is not None:
                 await nursery.start(self._control.run)
-                nursery.start_soon(self._poll_once_there_is_a_share, nursery, self._control)
+                nursery.start_soon(self._start_pollers_with_share, nursery, self._control)
             else:
                 await self._start_pollers(nursery)
             await nursery.start(serve)
@@ -146,17 +148,17 @@
             task_status.started()
 
     async def _start_links(self, nursery: trio.Nursery) -> None:
-        where = self.cfg.links
-        if where is None or self.owners is None or self.owner_server is None:
+        endpoint = self.cfg.links
+        if endpoint is None or self.owners is None or self.owner_server is None:
             return
-        listeners = await trio.open_tcp_listeners(where.port, host=where.address)
+        listeners = await trio.open_tcp_listeners(endpoint.port, host=endpoint.address)
         self.link_port = listeners[0].socket.getsockname()[1]
         await nursery.start(self.owners.run)
         await nursery.start(self.owner_server.serve, listeners)
 
     @property
     def running_for_others(self) -> int:
-        """How many shard requests of other entries are under way."""
+        """The number of shard requests in flight on behalf of other entries."""
         return 0 if self.owner_server is None else self.owner_server.running
 
     def _limits(self) -> HttpLimits:
@@ -169,50 +171,50 @@
             limits.idle_timeout_ms,
         )
 
-    async def _poll_once_there_is_a_share(
-        self, nursery: trio.Nursery, control: ControlHook
-    ) -> None:
-        # The first fetch of a shard map takes a connection to a server that others may have
-        # filled up to its limit; it would close that connection or one with a request on it.
+    async def _start_pollers_with_share(self, nursery: trio.Nursery, control: ControlHook) -> None:
+        # Fetching a shard map takes a connection to a server whose connection limit other entries
+        # may have used up. The server would then close that connection or a busy one.
         await control.wait_share()
         await self._start_pollers(nursery)
 
     async def _start_pollers(self, nursery: trio.Nursery) -> None:
-        async with trio.open_nursery() as first:
+        async with trio.open_nursery() as fetches:
             for poller in self.map_pollers:
-                first.start_soon(poller.fetch)
+                fetches.start_soon(poller.fetch)
         for poller in self.map_pollers:
             nursery.start_soon(poller.run)
-        for prober in self._probers:
+        for prober in self._health_pollers:
             nursery.start_soon(prober.run)
         platform = self.cfg.platform
         if platform is not None:
-            poll = PlatformPoller(platform, self.cfg.platform_poll_ms, self._take_hosts)
-            nursery.start_soon(poll.run)
+            hosts_poller = PlatformPoller(
+                platform, self.cfg.platform_poll_ms, self._on_platform_hosts
+            )
+            nursery.start_soon(hosts_poller.run)
 
     @property
     def may_serve(self) -> bool:
-        """Whether there is a live lease with connections, or the entry needs none."""
+        """Whether the entry has a valid lease with connections or needs no lease."""
         return self._has_share and self._clock.now() < self._serve_until
 
     def change_rules(self, revision: int, rules: RuleList) -> None:
-        """Put a newer list of rules in force."""
+        """Apply a newer list of rules."""
         self.feed(RulesChanged(revision, rules))
 
     def set_roster(self, roster: Iterable[EntryAddress]) -> None:
-        """Take the entries that callers may be told of."""
+        """Set the entries that may be advertised to callers."""
         self.addresses.roster = tuple(roster)
 
     def request_stop(self) -> None:
-        """Begin a planned stop; whoever runs this entry carries it out."""
+        """Request a planned stop; the code that runs this entry carries it out."""
         self.stop_requested.set()
 
-    def leave_addresses(self) -> None:
-        """Name this entry to no caller from now on, while requests are still served."""
-        self.addresses.leave(self.cfg.callers.address, self.port)
+    def withdraw_address(self) -> None:
+        """Stop advertising this entry to callers; requests are still served."""
+        self.addresses.exclude(self.cfg.callers.address, self.port)
 
-    async def say_goodbye(self) -> None:
-        """Close what is idle and tell control that this entry is gone, if there is control."""
+    async def deregister(self) -> None:
+        """Close idle connections and deregister from control, if there is one."""
         if self.owner_server is not None:
             self.owner_server.closing = True
         self.pool.set_shares({})
@@ -225,14 +227,14 @@
         return [server for shard_map in maps for server in shard_map.servers]
 
     def within_shares(self) -> bool:
-        """Return whether no server may count more connections than the present share."""
+        """Return whether no server has more connections than the current share allows."""
         return self.pool.within_shares()
 
-    async def outcome_of(self, request: Request) -> Outcome:
-        """Run one request; if the caller of this is cancelled, so is the request."""
+    async def run_request(self, request: Request) -> Outcome:
+        """Run one request; cancelling this call cancels the request."""
         if not self._has_share and not self.stop_requested.is_set():
-            # An entry that has just joined has to wait until the others have given up some of
-            # their connections. Its refusals would otherwise look as if the upstream were full.
+            # An entry that has just joined has to wait until the others have released some of their
+            # connections. Without this check its refusals would suggest an overloaded upstream.
             message = "this entry has no share of connections yet"
             return Refused(Failure(ErrorKind.LEASE_EXPIRED, message))
         self._last_query += 1
@@ -244,31 +246,31 @@
             outcomes.append(outcome)
             done.set()
 
-        self._waiting[query] = finish
+        self._finish_callbacks[query] = finish
         start = self._clock.now()
         try:
             self.feed(QueryArrived(query, request))
             await done.wait()
         finally:
-            # Work for a caller that has gone is load without use for anyone.
-            if self._waiting.pop(query, None) is not None:
+            # Work for a caller that has closed its connection would only load the servers.
+            if self._finish_callbacks.pop(query, None) is not None:
                 self.feed(CallerGone(query))
-        self.metrics.count(outcomes[0], self._clock.now() - start)
+        self.metrics.record_outcome(outcomes[0], self._clock.now() - start)
         return outcomes[0]
 
     def feed(self, event: EntryEvent) -> None:
-        """Tell the core what happened, and begin what it asks for."""
+        """Pass an event to the core and execute the resulting effects."""
         self._events.append(event)
-        # An effect may bring about the next event at once. Stepping the core from within its own
-        # step would show it a state that is only half changed.
-        if self._stepping:
+        # Executing an effect can cause another event immediately. A nested step would see a state
+        # that is only partly updated, so that event is queued until the current step is complete.
+        if self._processing:
             return
-        self._stepping = True
+        self._processing = True
         try:
             while self._events:
                 self._step(self._events.popleft())
         finally:
-            self._stepping = False
+            self._processing = False
 
     def _step(self, event: EntryEvent) -> None:
         if isinstance(event, LeaseChanged):
@@ -279,17 +281,17 @@
         try:
             effects = self.core.step(event, self._clock.now())
         except Exception as exc:
-            # One request that hits a fault of the core must not end the process, and with it
-            # every other request that runs here.
+            # A request that triggers a bug in the core must not end the process and with it all
+            # other running requests.
             log_event(LogEvent.ENTRY_FAULT, exc=exc, told=type(event).__name__)
             if isinstance(event, QueryArrived):
-                failure = Failure(ErrorKind.INTERNAL, "a fault in alderhatch")
+                failure = Failure(ErrorKind.INTERNAL, "internal error in alderhatch")
                 self._finish(event.query, Refused(failure))
             return
         for effect in effects:
-            self._carry_out(effect)
+            self._execute(effect)
 
-    def _carry_out(self, effect: EntryEffect) -> None:
+    def _execute(self, effect: EntryEffect) -> None:
         match effect:
             case SendShard():
                 self.attempts.start(effect)
@@ -300,60 +302,65 @@
             case Finish(query=query, outcome=outcome):
                 self._finish(query, outcome)
             case ClaimRun() | RecordOutcome() | ReportCrash():
-                self._ask_control(effect)
+                self._send_to_control(effect)
             case ProbeServer(server_id=server_id):
-                for prober in self._probers:
+                for prober in self._health_pollers:
                     prober.hurry(server_id)
             case FetchShardMap(upstream=upstream):
                 for poller in self.map_pollers:
                     poller.hurry(upstream)
 
     def _finish(self, query: int, outcome: Outcome) -> None:
-        finish = self._waiting.pop(query, None)
+        finish = self._finish_callbacks.pop(query, None)
         if finish is not None:
             finish(outcome)
 
-    def _ask_control(self, effect: ControlEffect) -> None:
+    def _send_to_control(self, effect: ControlEffect) -> None:
         if self._control is not None:
-            self._control.carry_out(effect)
+            self._control.execute(effect)
         elif isinstance(effect, ClaimRun):
-            # Without control hosts there is no ledger that could keep a request from running
-            # twice, so it does not run at all.
+            # Without control hosts there is no ledger that prevents a request from running twice,
+            # so the request is refused.
             self.feed(ClaimDecided(effect.query, Claim.UNAVAILABLE))
 
-    def _adopt(self, shard_map: ShardMap) -> None:
-        known = {server.server_id for server in shard_map.servers}
-        gone = [item for item in self.pool.server_ids(shard_map.upstream) if item not in known]
-        self.pool.adopt(shard_map.upstream, shard_map.servers, gone)
+    def _on_shard_map(self, shard_map: ShardMap) -> None:
+        known_ids = {server.server_id for server in shard_map.servers}
+        removed = [
+            held_id
+            for held_id in self.pool.server_ids(shard_map.upstream)
+            if held_id not in known_ids
+        ]
+        self.pool.adopt(shard_map.upstream, shard_map.servers, removed)
         self.feed(ShardMapFetched(shard_map))
-        self._share_out()
-        self._tell_leaving()
+        self._update_shares()
+        self._update_leaving()
 
-    def _share_out(self) -> None:
+    def _update_shares(self) -> None:
         if self._control is not None:
-            self._control.servers_changed()
+            self._control.on_servers_changed()
             return
-        most = self.cfg.connections_per_server
+        connection_limit = self.cfg.connections_per_server
         shares = {
-            server.server_id: min(most, server.max_connections) for server in self.known_servers()
+            server.server_id: min(connection_limit, server.max_connections)
+            for server in self.known_servers()
         }
-        self.feed(LeaseChanged(FOREVER, shares, frozenset()))
+        self.feed(LeaseChanged(NO_EXPIRY, shares, frozenset()))
 
-    def _take_hosts(self, hosts: list[PlatformHost]) -> None:
-        self._hosts = [host for host in hosts if host.leaving]
-        self._tell_leaving()
+    def _on_platform_hosts(self, hosts: list[PlatformHost]) -> None:
+        self._leaving_hosts = [host for host in hosts if host.leaving]
+        self._update_leaving()
 
-    def _tell_leaving(self) -> None:
+    def _update_leaving(self) -> None:
         leaving = frozenset(
             server.server_id
             for server in self.known_servers()
-            if any(host.names(server.address, server.port) for host in self._hosts)
+            if any(host.names(server.address, server.port) for host in self._leaving_hosts)
         )
         self.addresses.platform_leaving = [
-            (item.address, item.port)
-            for item in self.addresses.roster
-            if any(host.names(item.address, item.port) for host in self._hosts)
+            (entry.address, entry.port)
+            for entry in self.addresses.roster
+            if any(host.names(entry.address, entry.port) for host in self._leaving_hosts)
         ]
-        if leaving != self._leaving:
-            self._leaving = leaving
-            self.feed(ServersLeaving(PLATFORM, leaving))
+        if leaving != self._leaving_server_ids:
+            self._leaving_server_ids = leaving
+            self.feed(ServersLeaving(PLATFORM_SOURCE, leaving))
--- a/src/alderhatch/entry/operator_handler.py
+++ b/src/alderhatch/entry/operator_handler.py
@@ -1,4 +1,4 @@
-"""The operators' side of an entry: metrics, readiness and the state dump."""
+"""The HTTP endpoints of an entry for operators: metrics, readiness and the state dump."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 if TYPE_CHECKING:
     from .entry_node import EntryNode
 
-MAX_SHOWN = 500
-"""Servers and entries that a dump lists at most; the counts beside them are whole."""
+MAX_DUMP_ROWS = 500
+"""Maximum number of rows per list of a dump; the counts are complete."""
 
 
 class OperatorHandler:
-    """Answers operators. Nothing here changes the entry, and no secret or request is shown.
+    """Answers the requests of operators.
+
+    All endpoints are read-only and show neither secrets nor request bodies.
 
     Args:
-        node: The entry that is looked at.
+        node: The entry to show.
     """
 
     def __init__(self, node: EntryNode) -> None:
@@ -31,26 +33,32 @@
         """Answer one HTTP request of an operator.
 
         Raises:
-            AlderhatchError: If there is nothing at its path.
+            AlderhatchError: If the path is unknown.
         """
         match (req.method, req.path):
             case ("GET", "/metrics"):
-                return HttpResponse(200, *self._node.metrics.page())
+                return HttpResponse(200, *self._node.metrics.render_page())
             case ("GET", "/ready"):
                 return self._ready()
             case ("GET", "/dump"):
                 return json_response(200, self._dump())
-        raise AlderhatchError(Failure(ErrorKind.NOT_FOUND, f"nothing at {req.method} {req.path}"))
+        raise AlderhatchError(
+            Failure(ErrorKind.NOT_FOUND, f"no resource at {req.method} {req.path}")
+        )
 
     def _ready(self) -> HttpResponse:
         node = self._node
-        lacking = [poller.upstream for poller in node.map_pollers if poller.newest is None]
+        missing_maps = [poller.upstream for poller in node.map_pollers if poller.newest is None]
         if node.stop_requested.is_set():
             return json_response(503, {"ready": False, "why": "stopping"})
         if not node.may_serve:
-            return json_response(503, {"ready": False, "why": "no lease with connections"})
-        if lacking:
-            return json_response(503, {"ready": False, "why": f"no shard map of {lacking}"})
+            return json_response(
+                503, {"ready": False, "why": "no valid lease with a share of connections"}
+            )
+        if missing_maps:
+            return json_response(
+                503, {"ready": False, "why": f"no shard map of {missing_maps} received yet"}
+            )
         return json_response(200, {"ready": True})
 
     def _counts(self) -> dict[str, int]:
@@ -75,25 +83,25 @@
             "callers": {"address": node.cfg.callers.address, "port": node.port},
             "stopping": node.stop_requested.is_set(),
             "counts": self._counts(),
-            "maps": [self._map_line(poller.upstream) for poller in node.map_pollers],
-            "servers": self._server_lines(),
+            "maps": [self._map_row(poller.upstream) for poller in node.map_pollers],
+            "servers": self._server_rows(),
             "links": self._links(),
             "core": node.core.dump(trio.current_time() * SECOND),
-            "roster": [item._asdict() for item in node.addresses.roster[:MAX_SHOWN]],
+            "roster": [item._asdict() for item in node.addresses.roster[:MAX_DUMP_ROWS]],
         }
 
     def _links(self) -> dict[str, object] | None:
-        """Return the links with other entries, or None if this one takes none."""
+        """Return the links with other entries, or None if this entry has none configured."""
         owners, server = self._node.owners, self._node.owner_server
         if owners is None or server is None:
             return None
         return {
-            "to_owners": dict(sorted(owners.open_links.items())[:MAX_SHOWN]),
-            "from_entries": sorted(link.peer.name for link in server.links)[:MAX_SHOWN],
+            "to_owners": dict(sorted(owners.open_links.items())[:MAX_DUMP_ROWS]),
+            "from_entries": sorted(link.peer.name for link in server.links)[:MAX_DUMP_ROWS],
             "shard_requests_of_others": server.running,
         }
 
-    def _map_line(self, upstream: str) -> dict[str, object]:
+    def _map_row(self, upstream: str) -> dict[str, object]:
         shard_map = next(
             item.newest for item in self._node.map_pollers if item.upstream == upstream
         )
@@ -107,11 +115,11 @@
             "documents": shard_map.documents,
         }
 
-    def _server_lines(self) -> list[dict[str, object]]:
+    def _server_rows(self) -> list[dict[str, object]]:
         pool = self._node.pool
-        lines: list[dict[str, object]] = []
-        for server_id in pool.server_ids()[:MAX_SHOWN]:
+        rows: list[dict[str, object]] = []
+        for server_id in pool.server_ids()[:MAX_DUMP_ROWS]:
             idle, busy = pool.held_to(server_id)
             share = pool.share_of(server_id)
-            lines.append({"server": server_id, "share": share, "idle": idle, "busy": busy})
-        return lines
+            rows.append({"server": server_id, "share": share, "idle": idle, "busy": busy})
+        return rows
--- a/src/alderhatch/entry/wake_timer.py
+++ b/src/alderhatch/entry/wake_timer.py
@@ -1,4 +1,4 @@
-"""The one timer of the core: it wakes the core when its next deadline has come."""
+"""The timer of the core, which wakes it at its next deadline."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class WakeTimer:
-    """Calls a function at the time that was asked for last.
+    """Calls a function at the time that was set last.
 
     Args:
-        wake: Called once the time has come.
+        wake: Called when the time has been reached.
     """
 
     def __init__(self, wake: Callable[[], None]) -> None:
         self._wake = wake
         self._at: Millis | None = None
         self._sleeping_until: Millis | None = None
-        self._sooner = trio.Event()
+        self._earlier = trio.Event()
 
     def set(self, at: Millis) -> None:
-        """Wake at this point in time, in place of the one asked for before."""
+        """Set the wake-up time, replacing the previous one."""
         self._at = at
-        # A later time is found when the task wakes up for the earlier one, which spares a switch
-        # of tasks for nearly every query.
+        # The task is not woken for a later time: it notices that time when it wakes at the earlier
+        # one. This saves a task switch for nearly every query.
         if self._sleeping_until is None or at < self._sleeping_until:
-            self._sooner.set()
+            self._earlier.set()
 
     async def run(self) -> None:
-        """Wake the core on time until cancelled."""
+        """Call the function at each time that is set, until cancelled."""
         while True:
             if self._at is None or self._at > trio.current_time() * SECOND:
                 await self._sleep(self._at)
@@ -40,10 +40,10 @@
             self._wake()
 
     async def _sleep(self, at: Millis | None) -> None:
-        self._sooner = trio.Event()
+        self._earlier = trio.Event()
         self._sleeping_until = at
         if at is None:
-            await self._sooner.wait()
+            await self._earlier.wait()
             return
         with trio.move_on_at(at / SECOND):
-            await self._sooner.wait()
+            await self._earlier.wait()
