--- a/features/steps/caller_addresses_steps.py
+++ b/features/steps/caller_addresses_steps.py
@@ -11,58 +11,61 @@
 @given('the entries\' roster "{roster}"')
 def step_roster(context, roster):
     book = context.address_book = AddressBook(ttl=200)
-    rows = []
-    for item in roster.split():
-        port, zone, *leaving = item.split(":")
-        rows.append(EntryAddress(LOOPBACK, int(port), zone, bool(leaving)))
-    book.roster = tuple(rows)
+    roster_entries = []
+    for row in roster.split():
+        port, zone, *leaving = row.split(":")
+        roster_entries.append(EntryAddress(LOOPBACK, int(port), zone, bool(leaving)))
+    book.roster = tuple(roster_entries)
 
 
-@when('a caller in zone "{zone}" asks for the entries\' addresses')
-@when('a caller in zone "" asks for the entries\' addresses')
+@when('a caller in zone "{zone}" requests the entries\' addresses')
+@when('a caller in zone "" requests the entries\' addresses')
 def step_ask_addresses(context, zone=""):
-    context.told = context.address_book.addresses_for(zone)
+    context.listed = context.address_book.addresses_for(zone)
 
 
-@then('the caller is told of the entries "{answer}" for {ttl:d} ms')
+@then('the caller receives the entries "{answer}" for {ttl:d} ms')
 def step_told(context, answer, ttl):
-    assert " ".join(f"{item.port}:{item.weight}" for item in context.told) == answer, context.told
+    assert " ".join(f"{row.port}:{row.weight}" for row in context.listed) == answer, context.listed
     assert context.address_book.ttl == ttl
 
 
 @given("a platform for the entry")
 def step_platform(context):
-    here = world(context)
-    here.call(here.start_platform)
+    harness = world(context)
+    harness.call(harness.start_platform)
 
 
 @when("the platform lists entry {number:d} as leaving")
 def step_platform_leaving(context, number):
-    here = world(context)
-    here.platform.states = {entry.port: "live" for entry in here.entries}
-    here.platform.states[here.entries[number - 1].port] = "leaving"
+    harness = world(context)
+    harness.platform.states = {entry.port: "live" for entry in harness.entries}
+    harness.platform.states[harness.entries[number - 1].port] = "leaving"
 
 
-@when("soon entry {asked:d} tells callers only of entry {named:d}")
-@then("soon entry {asked:d} tells callers only of entry {named:d}")
+@when("soon entry {asked:d} advertises only entry {named:d} to callers")
+@then("soon entry {asked:d} advertises only entry {named:d} to callers")
 def step_tells_only(context, asked, named):
-    here = world(context)
-    expected = [here.entries[named - 1].port]
+    harness = world(context)
+    expected = [harness.entries[named - 1].port]
 
-    async def told():
+    async def listed():
         while True:
-            reply = await http_once(LOOPBACK, here.entries[asked - 1].port, "GET", "/addresses")
+            reply = await http_once(LOOPBACK, harness.entries[asked - 1].port, "GET", "/addresses")
             body = orjson.loads(reply.body)
-            if [item["port"] for item in body["addresses"]] == expected:
+            if [row["port"] for row in body["addresses"]] == expected:
                 return body
-            await here.nap(0.01)
+            await harness.nap(0.01)
 
-    assert here.call(told)["ttl_ms"] == here.entries[0].cfg.address_ttl_ms
+    assert harness.call(listed)["ttl_ms"] == harness.entries[0].cfg.address_ttl_ms
 
 
-@when("the platform's list breaks and is read {count:d} times")
+@when("the platform's list becomes unreadable and is requested {count:d} times")
 def step_platform_breaks(context, count):
-    here = world(context)
-    here.platform.broken = True
-    seen = here.platform.asked
-    here.call(here.until, lambda: here.platform.asked >= seen + count * len(here.entries))
+    harness = world(context)
+    harness.platform.broken = True
+    requests_before = harness.platform.asked
+    harness.call(
+        harness.until,
+        lambda: harness.platform.asked >= requests_before + count * len(harness.entries),
+    )
--- a/features/steps/control_entries_steps.py
+++ b/features/steps/control_entries_steps.py
@@ -10,15 +10,15 @@
 from features.support.control_commands import rule
 from features.support.control_tier import LOOPBACK, Forwarder, control_tier
 
-ADD = {"change_id": "c-1", "expected_revision": 0, "rule": rule("night")}
+ADD_RULE = {"change_id": "c-1", "expected_revision": 0, "rule": rule("night")}
 
 
-@then("a change is in force only after the entry that is cut off has stopped serving")
-def step_entry_cut_off(context):
-    trio.run(_entry_cut_off)
+@then("a change is in force only after the partitioned entry has stopped serving")
+def step_partitioned_entry(context):
+    trio.run(_partitioned_entry)
 
 
-async def _entry_cut_off():
+async def _partitioned_entry():
     async with control_tier() as tier:
         forwarders = []
         for name in tier.hosts:
@@ -29,31 +29,31 @@
             NamedEndpoint(name=name, address=LOOPBACK, port=one.own_port)
             for name, one in zip(tier.hosts, forwarders, strict=True)
         ]
-        cut = await tier.start_entry("entry-1", controls=controls)
-        well = await tier.start_entry("entry-2")
-        await cut.wait_ready()
-        # Its host reaches control through the forwarders alone, whatever it is told of.
-        cut._host_selector = ControlHostSelector(controls, 0)
-        cut._host_selector.set_learned = lambda told: None
+        partitioned = await tier.start_entry("entry-1", controls=controls)
+        connected = await tier.start_entry("entry-2")
+        await partitioned.wait_ready()
+        # Its host reaches control only through the forwarders, whichever hosts control announces.
+        partitioned._host_selector = ControlHostSelector(controls, 0)
+        partitioned._host_selector.set_learned = lambda announced: None
         for forwarder in forwarders:
-            # Old connections go silent, and new ones are never answered.
+            # Open connections become silent, and new ones are never answered.
             forwarder.silent = True
             forwarder.port = 9
         served_until = []
 
-        async def note_end():
-            while cut.may_serve():
+        async def record_end():
+            while partitioned.may_serve():
                 await trio.sleep(0.001)
             served_until.append(trio.current_time())
 
-        tier.nursery.start_soon(note_end)
+        tier.nursery.start_soon(record_end)
         path = "/v1/rules?wait=in_force&timeout_ms=20000"
-        status, answer = await tier.change("POST", path, ADD)
-        told_at = trio.current_time()
+        status, answer = await tier.change("POST", path, ADD_RULE)
+        in_force_at = trio.current_time()
         assert status == 200 and answer["in_force"], answer
-        assert served_until and served_until[0] <= told_at
-        assert cut.view.revision == 0 and well.view.revision == 1
-        assert not cut.may_serve() and well.may_serve()
+        assert served_until and served_until[0] <= in_force_at
+        assert partitioned.view.revision == 0 and connected.view.revision == 1
+        assert not partitioned.may_serve() and connected.may_serve()
 
 
 @then("an entry whose connection goes silent keeps its lease through another control host")
@@ -84,7 +84,7 @@
         assert client.may_serve() and lapses == []
 
 
-@then('a booking resent at another entry after "{event}" is told "{status}"')
+@then('a booking resent to another entry after "{event}" gets the status "{status}"')
 def step_booking(context, event, status):
     trio.run(_booking, event, status)
 
@@ -93,8 +93,8 @@
     async with control_tier() as tier:
         first = await tier.start_entry("entry-1")
         second = await tier.start_entry("entry-2")
-        if event == "its caller went away during the claim":
-            await _claim_and_go(tier, first)
+        if event == "its caller disconnected during the claim":
+            await _claim_and_cancel(tier, first)
         answer = await first.claim("trafikk", "booking-1", "body")
         assert answer.status == "granted"
         ledger = tier.state(await tier.leader()).ledger
@@ -109,23 +109,23 @@
             case "the first entry died":
                 tier.kill_entry("entry-1")
                 await tier.until(lambda: not ledger.counts().in_progress)
-            case "the first entry released it" | "its caller went away during the claim":
+            case "the first entry released it" | "its caller disconnected during the claim":
                 first.release_claim("trafikk", "booking-1")
                 await tier.until(lambda: not ledger.counts().in_progress)
-        again = await second.claim("trafikk", "booking-1", "body", timeout=10_000.0)
-        assert again.status == status, again
-        assert (again.outcome == b"booked") == (status == "stored")
+        resent = await second.claim("trafikk", "booking-1", "body", timeout=10_000.0)
+        assert resent.status == status, resent
+        assert (resent.outcome == b"booked") == (status == "stored")
 
 
-async def _claim_and_go(tier, client):
-    """Claim and be cancelled before the answer comes, as when the caller closes its connection."""
+async def _claim_and_cancel(tier, client):
+    """Claim and cancel before the answer arrives, as if the caller closed its connection."""
     with trio.move_on_after(0.001):
         await client.claim("trafikk", "booking-1", "body")
     ledger = tier.state(await tier.leader()).ledger
     await tier.until(lambda: ledger.counts().records and not ledger.counts().in_progress)
 
 
-@then("a planned stop shows at every entry, and after the goodbye the others have its share")
+@then("a planned stop is shown at every entry, and after deregistration the others have its share")
 def step_entry_stop_planned(context):
     trio.run(_entry_stop)
 
@@ -149,7 +149,7 @@
         await tier.until(lambda: [one.share for one in others] == [2, 2])
 
 
-@then("a restarted entry gets its lease only once the old process's lease has run out")
+@then("a restarted entry gets its lease only after the old process's lease has expired")
 def step_entry_restarts(context):
     trio.run(_entry_restarts)
 
@@ -166,7 +166,7 @@
         assert entries["entry-1"].incarnation == "run-2"
 
 
-@then("an entry goes on after all the control hosts of its settings were replaced")
+@then("an entry keeps its service after all control hosts of its settings were replaced")
 def step_all_replaced(context):
     trio.run(_all_replaced)
 
@@ -180,7 +180,7 @@
             await tier.repair(name, f"control-{number + 4}", number)
         await tier.until(lambda: client.view.revision == len(configured))
         await tier.until(lambda: client.control_host in tier.hosts and client.may_serve())
-        # The hosts know of each other too: all restart, and each finds the way to the leader.
+        # The new hosts know each other as well: all of them restart, and each one finds the leader.
         names = list(tier.hosts)
         assert not set(names) & set(configured)
         for name in names:
@@ -192,7 +192,7 @@
         await tier.until(lambda: client.control_host in names and client.may_serve())
 
 
-def _places(names):
+def _endpoints(names):
     ports = {name: 7000 + number for number, name in enumerate("abcde")}
     return [
         NamedEndpoint(name=one, address=LOOPBACK, port=ports[one])
@@ -201,30 +201,32 @@
     ]
 
 
-@given('an entry with the control hosts "{configured}" that was told of "{told}"')
-def step_told(context, configured, told):
-    context.places = ControlHostSelector(_places(configured), 0)
-    context.places.set_learned([ControlPlace(*_plain(one)) for one in _places(told)])
+@given('an entry with the control hosts "{configured}" to which control announced "{announced}"')
+def step_announced(context, configured, announced):
+    context.host_selector = ControlHostSelector(_endpoints(configured), 0)
+    context.host_selector.set_learned(
+        [ControlPlace(*_endpoint_fields(one)) for one in _endpoints(announced)]
+    )
 
 
-def _plain(endpoint):
+def _endpoint_fields(endpoint):
     return endpoint.name, endpoint.address, endpoint.port
 
 
 @then('while none of them grants a lease, the next ones tried are "{tried}"')
 def step_tried(context, tried):
     expected = tried.split()
-    assert [context.places.next_host().name for _ in expected] == expected
+    assert [context.host_selector.next_host().name for _ in expected] == expected
 
 
-@given('an entry with the control hosts "{configured}" that was told of {count:d} others')
-def step_told_many(context, configured, count):
-    context.places = ControlHostSelector(_places(configured), 0)
+@given('an entry with the control hosts "{configured}" to which control announced {count:d} others')
+def step_announced_many(context, configured, count):
+    context.host_selector = ControlHostSelector(_endpoints(configured), 0)
     others = [ControlPlace(f"other-{number}", LOOPBACK, 8000 + number) for number in range(count)]
-    context.places.set_learned(others)
+    context.host_selector.set_learned(others)
 
 
-@then('it remembers {count:d} of them and still tries "{name}"')
-def step_remembers(context, count, name):
-    tried = [context.places.next_host().name for _ in range(count + 1)]
+@then('it keeps {count:d} of them and still tries "{name}"')
+def step_keeps(context, count, name):
+    tried = [context.host_selector.next_host().name for _ in range(count + 1)]
     assert len(set(tried)) == count + 1 and tried[-1] == name
--- a/features/steps/entry_control_steps.py
+++ b/features/steps/entry_control_steps.py
@@ -8,59 +8,61 @@
 RULES = [{"name": "only", "then": {"deadline_ms": 5000, "retries": 2}}]
 
 
-async def _until_may_serve(here):
-    await here.until(lambda: _may_serve(here))
+async def _until_may_serve(harness):
+    await harness.until(lambda: _may_serve(harness))
 
 
-def _may_serve(here):
-    return all(entry.may_serve for entry in here.entries)
+def _may_serve(harness):
+    return all(entry.may_serve for entry in harness.entries)
 
 
 @given("{controls:d} control hosts and {count:d} entries that hold a lease")
 def step_tier(context, controls, count):
-    here = world(context)
-    here.call(here.start_controls, controls)
-    here.call(here.change_rules, RULES)
+    harness = world(context)
+    harness.call(harness.start_controls, controls)
+    harness.call(harness.change_rules, RULES)
     for _ in range(count):
-        here.call(here.start_entry)
-    here.call(_until_may_serve, here)
+        harness.call(harness.start_entry)
+    harness.call(_until_may_serve, harness)
 
 
 @when("{count:d} more entries join and hold a lease")
 def step_join(context, count):
-    here = world(context)
+    harness = world(context)
     for _ in range(count):
-        here.call(here.start_entry)
-        here.call(_until_may_serve, here)
-    here.call(here.nap, 0.5)
+        harness.call(harness.start_entry)
+        harness.call(_until_may_serve, harness)
+    harness.call(harness.nap, 0.5)
 
 
-async def _book(here, entry, booking):
-    return await here.query(entry, "/run", request_id=booking, key=booking)
+async def _send_booking(harness, entry, booking):
+    return await harness.query(entry, "/run", request_id=booking, key=booking)
 
 
-@when('the booking "{booking}" is sent to both entries at once')
+@when('the booking "{booking}" is sent to both entries simultaneously')
 def step_both(context, booking):
-    here = world(context)
+    harness = world(context)
 
-    async def both():
+    async def send_both():
         replies = []
 
-        async def one(entry):
-            replies.append(await _book(here, entry, booking))
+        async def send_to(entry):
+            replies.append(await _send_booking(harness, entry, booking))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(one, 0)
-            nursery.start_soon(one, 1)
+            nursery.start_soon(send_to, 0)
+            nursery.start_soon(send_to, 1)
         return replies
 
-    context.booking_first = here.call(both)
+    context.booking_first = harness.call(send_both)
 
 
-@when('the booking "{booking}" is sent to each entry again')
+@when('the booking "{booking}" is resent to each entry')
 def step_again(context, booking):
-    here = world(context)
-    context.booking_again = [here.call(_book, here, entry, booking) for entry in (0, 1)]
+    harness = world(context)
+    context.booking_resent = [
+        harness.call(_send_booking, harness, entry, booking) for entry in (0, 1)
+    ]
 
 
 @then('the booking "{booking}" ran once at the upstream')
@@ -69,41 +71,41 @@
     assert len(runs) == 1, runs
 
 
-@then("at least one entry answered the booking at once and each did when it was sent again")
+@then("at least one entry answered the first booking, and each entry answered the resent one")
 def step_answered(context):
     first = [answer for status, answer in context.booking_first if status == 200]
     others = [answer for status, answer in context.booking_first if status != 200]
-    assert first and all(item["error"] == "in_progress" for item in others), context.booking_first
-    for status, answer in context.booking_again:
+    assert first and all(reply["error"] == "in_progress" for reply in others), context.booking_first
+    for status, answer in context.booking_resent:
         assert status == 200 and answer["rows"] == first[0]["rows"], answer
 
 
-@when('the booking "{booking}" has reached the upstream by entry {number:d}, which then is lost')
-def step_lost(context, booking, number):
-    here = world(context)
+@when('the booking "{booking}" has reached the upstream through entry {number:d}, which then fails')
+def step_entry_fails(context, booking, number):
+    harness = world(context)
 
-    async def lose():
+    async def fail_entry():
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_book, here, number - 1, booking)
-            await here.until(lambda: here.upstream.runs)
+            nursery.start_soon(_send_booking, harness, number - 1, booking)
+            await harness.until(lambda: harness.upstream.runs)
             nursery.cancel_scope.cancel()
-        await here.end_entry(number - 1)
+        await harness.end_entry(number - 1)
 
-    here.call(lose)
+    harness.call(fail_entry)
 
 
 @when('the booking "{booking}" is sent to entry {number:d} until it is no longer in progress')
 def step_until(context, booking, number):
-    here = world(context)
+    harness = world(context)
 
     async def resend():
         while True:
-            status, answer = await _book(here, number - 1, booking)
+            status, answer = await _send_booking(harness, number - 1, booking)
             if answer.get("error") != "in_progress":
                 return status, answer
             await trio.sleep(0.1)
 
-    context.booking_reply = here.call(resend)
+    context.booking_reply = harness.call(resend)
 
 
 @then('the entry answers the booking with "{error}" and "{ran}"')
@@ -114,9 +116,9 @@
 
 @when("{count:d} bookings are sent to the entries")
 def step_bookings(context, count):
-    here = world(context)
+    harness = world(context)
     context.bookings = {
-        f"booking-{number}": here.call(_book, here, number % 2, f"booking-{number}")
+        f"booking-{number}": harness.call(_send_booking, harness, number % 2, f"booking-{number}")
         for number in range(count)
     }
 
@@ -138,33 +140,33 @@
 
 @given("the entries were asked {count:d} times each")
 def step_asked_each(context, count):
-    here = world(context)
-    for entry in range(len(here.entries)):
+    harness = world(context)
+    for entry in range(len(harness.entries)):
         for _ in range(count):
-            status, answer = here.call(here.query, entry)
-            assert status == 200 and here.check(answer) is None, answer
+            status, answer = harness.call(harness.query, entry)
+            assert status == 200 and harness.check(answer) is None, answer
 
 
 @when('a query with the word "{word}" is sent {count:d} times to the entries by turns')
 def step_poison(context, word, count):
-    here = world(context)
+    harness = world(context)
 
     async def send():
         for number in range(count):
-            status, answer = await here.query(
-                number % len(here.entries), query={"topic": word}, request_id=f"p-{number}"
+            status, answer = await harness.query(
+                number % len(harness.entries), query={"topic": word}, request_id=f"p-{number}"
             )
             assert status != 200, answer
-            await _until_tier_knows(here)
+            await _until_quarantined(harness)
 
-    here.call(send)
+    harness.call(send)
 
 
-async def _until_tier_knows(here):
-    """Wait until the crashes so far are known everywhere, as the caller waits who sends again."""
-    crashes = sum(server.counts.crashes for server in here.upstream.servers)
+async def _until_quarantined(harness):
+    """Wait until all entries know the crashes so far, as a caller waits before it resends."""
+    crashes = sum(server.counts.crashes for server in harness.upstream.servers)
     while crashes >= 2 and not all(
-        e.core._state.crashes.quarantined_tier_wide for e in here.entries
+        node.core._state.crashes.quarantined_tier_wide for node in harness.entries
     ):
         await trio.sleep(0.01)
 
@@ -179,62 +181,62 @@
     assert 1 <= sum(crashed.values()) <= count, crashed
 
 
-@then("soon the entries answer innocent queries whole")
-def step_innocent(context):
-    here = world(context)
+@then("soon the entries answer other queries completely")
+def step_other_queries(context):
+    harness = world(context)
 
     async def ask():
-        for entry in range(len(here.entries)):
+        for entry in range(len(harness.entries)):
             while True:
-                status, answer = await here.query(entry)
+                status, answer = await harness.query(entry)
                 if status == 200:
-                    assert here.check(answer) is None, answer
+                    assert harness.check(answer) is None, answer
                     if not answer["missing"]:
                         break
                 await trio.sleep(0.05)
 
-    here.call(ask)
+    harness.call(ask)
 
 
-@when("all control hosts of the entries are lost")
+@when("all control hosts of the entries fail")
 def step_controls_lost(context):
-    here = world(context)
+    harness = world(context)
 
     async def kill():
-        for name in list(here.controls.hosts):
-            await here.controls.kill_control(name)
+        for name in list(harness.controls.hosts):
+            await harness.controls.kill_control(name)
 
-    here.call(kill)
+    harness.call(kill)
 
 
 @then('soon each entry refuses with "{error}" and "{ran}"')
 def step_refuses(context, error, ran):
-    here = world(context)
+    harness = world(context)
 
     async def ask():
-        for entry in range(len(here.entries)):
-            while (await here.query(entry))[0] == 200:
+        for entry in range(len(harness.entries)):
+            while (await harness.query(entry))[0] == 200:
                 await trio.sleep(0.05)
-            status, answer = await here.query(entry)
+            status, answer = await harness.query(entry)
             assert status == 503 and (answer["error"], answer["ran"]) == (error, ran), answer
 
-    here.call(ask)
+    harness.call(ask)
 
 
-@when("an operator plans the stop of entry {number:d} with control")
+@when("an operator plans the stop of entry {number:d} through control")
 def step_plan_stop(context, number):
-    here = world(context)
+    harness = world(context)
 
     async def plan():
         body = {"change_id": "stop-1", "expected_revision": 1, "forced": True}
-        path = f"/v1/hosts/{here.entries[number - 1].cfg.name}/stop"
-        return await here.controls.change("POST", path, body)
+        path = f"/v1/hosts/{harness.entries[number - 1].cfg.name}/stop"
+        return await harness.controls.change("POST", path, body)
 
-    status, answer = here.call(plan)
+    status, answer = harness.call(plan)
     assert status == 200, answer
 
 
 @then("soon entry {number:d} has been asked to stop")
 def step_asked_to_stop(context, number):
-    here = world(context)
-    here.call(here.until, here.entries[number - 1].stop_requested.is_set)
+    harness = world(context)
+    harness.call(harness.until, harness.entries[number - 1].stop_requested.is_set)
--- a/features/steps/entry_stop_steps.py
+++ b/features/steps/entry_stop_steps.py
@@ -21,8 +21,8 @@
 from features.entry_world import LOOPBACK, world
 
 ROOT = Path(__file__).resolve().parents[2]
-KEPT_S = 1.0
-"""How long a caller still uses the entry when its stop begins, at least."""
+MIN_TTL_LEFT_S = 1.0
+"""Minimum time to live that a cached address of the entry has left when its stop starts."""
 PROGRAM = """
 import json, sys, trio
 from alderhatch.entry.app import run_entry
@@ -33,68 +33,72 @@
 """
 
 
-@given("callers keep the entries' addresses for {span:d} ms")
-def step_address_ttl(context, span):
-    world(context).settings["address_ttl_ms"] = span
+@given("callers keep the entries' addresses for {ttl:d} ms")
+def step_address_ttl(context, ttl):
+    world(context).settings["address_ttl_ms"] = ttl
 
 
-@given("callers ask the entries for addresses and send queries to them without a pause")
+@given("callers request the entries' addresses and send queries to them continuously")
 def step_callers(context):
-    here = world(context)
+    harness = world(context)
 
     async def caller(number, counts, stop):
-        """Act as the caller API asks: keep an answer about addresses for its time to live."""
-        known, until = [here.entries[number % 2].port], 0.0
+        """Cache the addresses for their time to live, as the caller API requires."""
+        ports, expires_at = [harness.entries[number % 2].port], 0.0
         while not stop.is_set():
-            if trio.current_time() >= until:
+            if trio.current_time() >= expires_at:
                 try:
-                    reply = await http_once(LOOPBACK, known[0], "GET", "/addresses?zone=waco-hall")
+                    reply = await http_once(LOOPBACK, ports[0], "GET", "/addresses?zone=waco-hall")
                 except HttpExchangeError as exc:
-                    counts["errors"].append((known[0], str(exc)))
+                    counts["errors"].append((ports[0], str(exc)))
                     return
                 answer = orjson.loads(reply.body)
-                known = [item["port"] for item in answer["addresses"]]
-                until = trio.current_time() + answer["ttl_ms"] / 1000
-            port = known[number % len(known)]
-            counts["kept"][port] = max(until, counts["kept"].get(port, 0.0))
-            entry = next(at for at, item in enumerate(here.entries) if item.port == port)
+                ports = [row["port"] for row in answer["addresses"]]
+                expires_at = trio.current_time() + answer["ttl_ms"] / 1000
+            port = ports[number % len(ports)]
+            counts["kept"][port] = max(expires_at, counts["kept"].get(port, 0.0))
+            entry = next(
+                index for index, candidate in enumerate(harness.entries) if candidate.port == port
+            )
             try:
-                status, body = await here.query(entry)
+                status, body = await harness.query(entry)
             except HttpExchangeError as exc:
                 counts["errors"].append((entry, str(exc)))
                 continue
             counts["answered"] += 1
-            if status != 200 or here.check(body) is not None:
+            if status != 200 or harness.check(body) is not None:
                 counts["errors"].append((entry, body))
 
     async def start():
         context.caller_counts = {"answered": 0, "errors": [], "kept": {}}
         context.callers_stop = trio.Event()
         for number in range(6):
-            here.spawn(caller, number, context.caller_counts, context.callers_stop)
+            harness.spawn(caller, number, context.caller_counts, context.callers_stop)
 
-    here.call(start)
+    harness.call(start)
 
 
-@when("entry {number:d} makes a planned stop while {count:d} queries and more are sent")
+@when("entry {number:d} makes a planned stop while at least {count:d} queries are sent")
 def step_stop_under_load(context, number, count):
-    here = world(context)
-    entry = here.entries[number - 1]
+    harness = world(context)
+    entry = harness.entries[number - 1]
 
     async def stop():
-        await here.until(lambda: context.caller_counts["answered"] >= count)
-        # With answers that were just about to run out, all callers could turn to the other entry
-        # before they sent anything more, and the stop would have nobody to cut off.
-        kept = context.caller_counts["kept"]
-        await here.until(lambda: kept.get(entry.port, 0.0) > trio.current_time() + KEPT_S)
-        before = entry.core.shard_requests_needed
-        await here.stop_entry(number - 1)
-        context.ran_since = entry.core.shard_requests_needed - before
-        wanted = context.caller_counts["answered"] + count
-        await here.until(lambda: context.caller_counts["answered"] >= wanted)
+        await harness.until(lambda: context.caller_counts["answered"] >= count)
+        # If the cached addresses were about to expire, all callers could switch to the other entry
+        # before they sent another query, and the stop would have no query to interrupt.
+        expiry_by_port = context.caller_counts["kept"]
+        await harness.until(
+            lambda: expiry_by_port.get(entry.port, 0.0) > trio.current_time() + MIN_TTL_LEFT_S
+        )
+        shards_before = entry.core.shard_requests_needed
+        await harness.stop_entry(number - 1)
+        context.shards_since_stop = entry.core.shard_requests_needed - shards_before
+        target = context.caller_counts["answered"] + count
+        await harness.until(lambda: context.caller_counts["answered"] >= target)
         context.callers_stop.set()
 
-    here.call(stop)
+    harness.call(stop)
 
 
 @then("no caller of the entries saw an error or a broken connection")
@@ -102,54 +106,58 @@
     assert context.caller_counts["errors"] == [], context.caller_counts
 
 
-@then("entry {number:d} ran queries after its stop had begun")
+@then("entry {number:d} ran queries after its stop had started")
 def step_ran_since(context, number):
-    assert context.ran_since > 0
+    assert context.shards_since_stop > 0
 
 
-@when("the entry is asked and makes a planned stop once the query has reached the upstream")
+@when("the entry gets a query and makes a planned stop once the query has reached the upstream")
 def step_stop_with_query(context):
-    here = world(context)
-    context.order = []
+    harness = world(context)
+    context.event_order = []
 
     async def stop():
-        await here.until(lambda: all(item.counts.received for item in here.upstream.servers))
-        await here.stop_entry(0)
-        context.order.append("ended")
+        await harness.until(
+            lambda: all(server.counts.received for server in harness.upstream.servers)
+        )
+        await harness.stop_entry(0)
+        context.event_order.append("ended")
 
     async def run():
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stop)
-            reply = await here.query()
-            context.order.append("answered")
+            reply = await harness.query()
+            context.event_order.append("answered")
         return [reply]
 
-    context.entry_replies = here.call(run)
+    context.entry_replies = harness.call(run)
 
 
 @then("the entry had ended after its last answer")
-def step_order(context):
-    assert context.order == ["answered", "ended"], context.order
+def step_event_order(context):
+    assert context.event_order == ["answered", "ended"], context.event_order
 
 
-@when("the entry drains with a query under way and is asked once more")
+@when("the entry drains with a query in flight and gets another one")
 def step_late_query(context):
-    here = world(context)
+    harness = world(context)
     replies = []
 
     async def first():
-        replies.append(await here.query())
+        replies.append(await harness.query())
 
     async def run():
         async with trio.open_nursery() as nursery:
             nursery.start_soon(first)
-            await here.until(lambda: all(item.counts.received for item in here.upstream.servers))
-            nursery.start_soon(planned_stop, here.entries[0])
-            await here.until(lambda: here.entries[0].callers.closing)
-            context.late_reply = await here.query(request_id="late-1")
+            await harness.until(
+                lambda: all(server.counts.received for server in harness.upstream.servers)
+            )
+            nursery.start_soon(planned_stop, harness.entries[0])
+            await harness.until(lambda: harness.entries[0].callers.closing)
+            context.late_reply = await harness.query(request_id="late-1")
         return replies
 
-    context.entry_replies = here.call(run)
+    context.entry_replies = harness.call(run)
 
 
 @then('the later query was refused by the entry with "{error}" and "{ran}" and "{resend}"')
@@ -159,18 +167,18 @@
     assert (answer["error"], answer["ran"], answer["resend"]) == (error, ran, resend), answer
 
 
-@when("the entry's program runs on a file of rules and gets {signals}")
+@when("the entry's program runs with a rules file and receives {signals}")
 def step_program(context, signals):
-    here = world(context)
+    harness = world(context)
     with tempfile.TemporaryDirectory() as folder:
         rules = Path(folder) / "rules.toml"
         rules.write_text('[[rule]]\nname = "from-file"\nthen = {coverage = 1.0}\n')
-        here.call(_run_program, context, here, rules, signals.split())
+        harness.call(_run_program, context, harness, rules, signals.split())
 
 
-async def _run_program(context, here, rules, signals):
-    seed = {"address": LOOPBACK, "port": here.upstream.servers[0].port}
-    slow = len(signals) > 1
+async def _run_program(context, harness, rules, signals):
+    seed = {"address": LOOPBACK, "port": harness.upstream.servers[0].port}
+    stop_twice = len(signals) > 1
     cfg = {
         "name": "entry-1",
         "zone": "austin-hall",
@@ -178,7 +186,7 @@
         "operators": {"address": LOOPBACK, "port": 0},
         "rules_file": str(rules),
         "upstreams": [{"name": "navigator", "seeds": [seed]}],
-        "address_ttl_ms": 60_000 if slow else 100,
+        "address_ttl_ms": 60_000 if stop_twice else 100,
     }
     process = await trio.lowlevel.open_process(
         [sys.executable, "-c", PROGRAM, json.dumps(cfg)],
@@ -207,7 +215,7 @@
                 reply = await http_once(LOOPBACK, port, "POST", "/query", orjson.dumps(body))
                 context.program_answer = orjson.loads(reply.body)
                 process.send_signal(getattr(signal, signals[0]))
-            if event["event"] == "entry_stopping" and slow:
+            if event["event"] == "entry_stopping" and stop_twice:
                 process.send_signal(getattr(signal, signals[0]))
     context.program_code = await process.wait()
 
@@ -224,11 +232,11 @@
     assert context.program_answer["coverage"] == 1
 
 
-@given("the entry runs with its operators' side")
+@given("the entry runs with its operator endpoints")
 def step_operators(context):
-    here = world(context)
-    here.call(here.start_entry)
-    context.operator_handler = OperatorHandler(here.entries[0])
+    harness = world(context)
+    harness.call(harness.start_entry)
+    context.operator_handler = OperatorHandler(harness.entries[0])
 
 
 def _get(context, path):
@@ -265,11 +273,11 @@
     dump = orjson.loads(context.operator_pages["/dump"].body)
     (line,) = dump["maps"]
     assert line["upstream"] == "navigator" and line["snapshot"] == {"version": 1, "epoch": 1}
-    assert [item["server"] for item in dump["servers"]] == ["navigator-00-0", "navigator-01-0"]
+    assert [row["server"] for row in dump["servers"]] == ["navigator-00-0", "navigator-01-0"]
     assert dump["core"]["running"] == 0
 
 
-@then("after the stop has begun the entry is not ready")
+@then("after the stop has started the entry is not ready")
 def step_not_ready(context):
     world(context).entries[0].request_stop()
     assert _get(context, "/ready").status == 503
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -17,7 +17,7 @@
 from alderhatch.link import LinkClosedError, Peer, open_link
 from features.entry_world import LOOPBACK, ZONES, world
 from features.steps.entry_connections_steps import step_limit_kept
-from features.steps.entry_control_steps import RULES, _book, _until_may_serve
+from features.steps.entry_control_steps import RULES, _send_booking, _until_may_serve
 from features.steps.entry_leaving_steps import _revision
 
 
@@ -206,7 +206,7 @@
         replies = []
 
         async def book():
-            replies.append(await _book(here, front, booking))
+            replies.append(await _send_booking(here, front, booking))
 
         front = _front_of_all(here)
         async with trio.open_nursery() as nursery:
