--- a/bench/forward.py
+++ b/bench/forward.py
@@ -99,7 +99,7 @@
             "node", "zone", decode_configuration, self.pool, terms, POLICY, clock, Random(1)
         )
         shards = [f"shard-{index}" for index in range(len(ports))]
-        self.state.take_configuration(pack_configuration(1, _document(shards)))
+        self.state.apply_configuration(pack_configuration(1, _document(shards)))
         self.records = [
             ServerRecord(f"i-{index}", shards[index], "127.0.0.1", port, "zone", 2, False)
             for index, port in enumerate(ports)
@@ -133,10 +133,10 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(side.pool.run)
         await nursery.start(side.runner.run)
-        side.state.take_view(
+        side.state.apply_view(
             TierView([HostRecord("node", "zone", "127.0.0.1:1", True, 1.0)], [], 0.0)
         )
-        side.state.take_servers(side.records, ())
+        side.state.apply_servers(side.records, ())
         while side.pool.held < len(ports):
             await trio.sleep(0.01)
         await side.ask(0, WARM_UP)
--- a/features/steps/caller_hosts_steps.py
+++ b/features/steps/caller_hosts_steps.py
@@ -94,7 +94,7 @@
 )
 def step_node(context, count, most):
     context.beliefs = node_before_servers(context, "host-0", most)
-    context.beliefs.take_view(view_of(count))
+    context.beliefs.apply_view(view_of(count))
 
 
 def node_before_servers(context, name, most):
@@ -111,13 +111,13 @@
 @when("nothing changes for {seconds:d} seconds, and then one host is lost")
 def step_lost(context, seconds):
     context.clock.advance(seconds * SECOND)
-    context.beliefs.take_view(view_of(len(context.beliefs.hosts) - 1))
+    context.beliefs.apply_view(view_of(len(context.beliefs.hosts) - 1))
 
 
 @when("{seconds:d} seconds later the view is told again")
 def step_later(context, seconds):
     context.clock.advance(seconds * SECOND)
-    context.beliefs.take_view(view_of(len(context.beliefs.hosts)))
+    context.beliefs.apply_view(view_of(len(context.beliefs.hosts)))
 
 
 @then("the node holds {count:d} connections to each server at most")
@@ -144,15 +144,15 @@
 
 @when('a leader says that the hosts "{names}" are there')
 def step_view(context, names):
-    context.beliefs.take_view(view_by_name(names))
+    context.beliefs.apply_view(view_by_name(names))
 
 
 @when('it has tried whom it names {times:d} times, and only "{alive}" answered')
 @when('it has tried whom it names {times:d} times, and only "" answered')
 def step_tried(context, times, alive=""):
     for _ in range(times):
-        tried = [host.name for host in context.beliefs.hosts_to_try()]
-        context.beliefs.saw_hosts({name: name in alive.split() for name in tried})
+        tried = [host.name for host in context.beliefs.hosts_to_probe()]
+        context.beliefs.record_host_probes({name: name in alive.split() for name in tried})
 
 
 @then('it names "{names}" to callers')
--- a/features/steps/cold_servers_steps.py
+++ b/features/steps/cold_servers_steps.py
@@ -27,7 +27,7 @@
 from alderhatch.node.node_state import NodeState
 from alderhatch.node.server_list import ServerListReader
 from alderhatch.node.tier_messages import TIER_MESSAGE_TYPES, TierView
-from alderhatch.node.tier_news import Duty, TierNews, Told
+from alderhatch.node.tier_updates import HostMode, SentState, TierUpdates
 from alderhatch.platform.settings import POLICY
 from features.support.forward_model import TERMS
 
@@ -316,32 +316,32 @@
     clock = ManualClock(1000.0)
     pool = ConnectionPool(0, spares=False)
     context.state = NodeState("a", "zone-0", None, pool, TERMS, POLICY, clock, Random(1))
-    context.state.take_evacuations(Evacuations(5, ("zone-0",)))
+    context.state.apply_evacuations(Evacuations(5, ("zone-0",)))
 
 
 @then("word of number 4 and of number 5 changes nothing, and number 6 is taken")
 def step_numbers(context):
     state = context.state
     for number, zones in ((4, ()), (5, ("zone-1",))):
-        state.take_evacuations(Evacuations(number, zones))
+        state.apply_evacuations(Evacuations(number, zones))
         assert state.evacuations == Evacuations(5, ("zone-0",))
-    state.take_evacuations(Evacuations(6, ()))
+    state.apply_evacuations(Evacuations(6, ()))
     assert state.evacuations == Evacuations(6, ())
 
 
 @given("news of a configuration, servers, hosts and an evacuated zone")
 def step_news(context):
     context.codec = Codec(*TIER_MESSAGE_TYPES)
-    context.news = TierNews(context.codec.encode)
-    context.news.take_servers({"server-0": ColdTier.record(0, 0.0)})
-    context.news.take_view(TierView([], [], 0.0, 1))
+    context.news = TierUpdates(context.codec.encode)
+    context.news.set_servers({"server-0": ColdTier.record(0, 0.0)})
+    context.news.set_view(TierView([], [], 0.0, 1))
 
 
 @then("a host that has just joined is told of the zone first")
 def step_first(context):
     orders = TierDirectives(StoredConfiguration(7, b"packed"), Evacuations(3, ("zone-0",)))
-    news = context.news.since(Told(), orders, Duty.SERVES)
+    news = context.news.updates_since(SentState(), orders, HostMode.SERVES)
     names = [type(context.codec.decode(one)).__name__ for one in news.messages]
     assert names[0] == "EvacuationNews" and len(names) == 4, names
-    again = context.news.since(news.told, orders, Duty.SERVES)
+    again = context.news.updates_since(news.told, orders, HostMode.SERVES)
     assert again.messages == []
--- a/features/steps/forwarding_crash_steps.py
+++ b/features/steps/forwarding_crash_steps.py
@@ -22,11 +22,11 @@
 
 def saw(context, request, server, fault):
     target = SimpleNamespace(upstream="kitchen", server_id=server)
-    context.beliefs.saw_attempt(request, target, fault, context.clock.now())
+    context.beliefs.record_attempt(request, target, fault, context.clock.now())
 
 
 def report(context):
-    for fingerprint, server_id in context.beliefs.take_crashes():
+    for fingerprint, server_id in context.beliefs.take_crash_reports():
         context.tally.report(fingerprint, server_id, context.clock.now())
 
 
@@ -100,7 +100,7 @@
 
 @when('the leader says that "{request}" is quarantined, and is heard of no more')
 def step_told(context, request):
-    context.beliefs.take_quarantine([request])
+    context.beliefs.apply_quarantine([request])
 
 
 @then('the host refuses "{first}" and "{second}" for {held:d} s and not after {over:d} s')
--- a/features/steps/hand_over_steps.py
+++ b/features/steps/hand_over_steps.py
@@ -160,7 +160,7 @@
         self.seen_version = VERSION
         self.caller_hosts = [HostRecord("other", "zone-0", "127.0.0.1:1", True, 1.0, port)]
 
-    def saw_version(self, version):
+    def record_seen_version(self, version):
         self.seen_version = max(self.seen_version, version)
 
 
@@ -430,7 +430,7 @@
 
 
 async def give_list(tier):
-    tier.server.take_list(server_list(20))
+    tier.server.update_server_list(server_list(20))
 
 
 @then("each of the others was told that it stands by")
@@ -463,8 +463,8 @@
 def step_versions(context, own, seen):
     context.beliefs = node_before_servers(context, "me", 20)
     context.beliefs.stored = StoredConfiguration(own, b"")
-    context.beliefs.take_standing(True)
-    context.beliefs.saw_version(seen)
+    context.beliefs.apply_standing(True)
+    context.beliefs.record_seen_version(seen)
     context.seen = seen
 
 
@@ -476,7 +476,7 @@
 
 @when("it serves by itself")
 def step_serves(context):
-    context.beliefs.take_standing(False)
+    context.beliefs.apply_standing(False)
 
 
 @then('its callers are refused as "{kind}" until it has {version:d}')
--- a/features/steps/late_crash_steps.py
+++ b/features/steps/late_crash_steps.py
@@ -44,19 +44,19 @@
 def step_told(context):
     host = context.beliefs = node_before_servers(context, "host-0", 28)
     (target,) = host.table.upstream(UPSTREAM).targets.values()
-    host.saw_attempt(BODY, target, AttemptFault.LOST, context.clock.now())
-    host.saw_attempt(BODY, target, AttemptFault.NOT_SENT, context.clock.now())
-    assert len(host.take_crashes()) == 1
-    assert host.take_crashes() == []
+    host.record_attempt(BODY, target, AttemptFault.LOST, context.clock.now())
+    host.record_attempt(BODY, target, AttemptFault.NOT_SENT, context.clock.now())
+    assert len(host.take_crash_reports()) == 1
+    assert host.take_crash_reports() == []
     context.tally = CrashCounter()
 
 
 @when("the host follows the new leader, and another host reports the body's second crash")
 def step_second(context):
     host = context.beliefs
-    host.follow_new_leader()
+    host.on_new_leader()
     now = context.clock.now()
-    for crash in host.take_crashes():
+    for crash in host.take_crash_reports():
         context.tally.report(crash.fingerprint, crash.server_id, now)
     context.refused = context.tally.report(BODY, "another server", now)
 
@@ -69,5 +69,5 @@
 @then("a host that follows a leader 61 s after a crash reports it no more")
 def step_forgotten(context):
     context.clock.advance(CRASH_RETENTION + SECOND)
-    context.beliefs.follow_new_leader()
-    assert context.beliefs.take_crashes() == []
+    context.beliefs.on_new_leader()
+    assert context.beliefs.take_crash_reports() == []
--- a/features/steps/log_output_steps.py
+++ b/features/steps/log_output_steps.py
@@ -168,7 +168,7 @@
     context.state = SimpleNamespace(
         list_age=lambda: 300.0,
         stored=SimpleNamespace(version=7),
-        hosts_alive=1,
+        live_host_count=1,
         table=context.model.tables[0],
     )
 
--- a/features/steps/node_tier_client_steps.py
+++ b/features/steps/node_tier_client_steps.py
@@ -121,26 +121,26 @@
         self.stands_by = False
         self.found = trio.Event()
 
-    def take_configuration(self, stored):
+    def apply_configuration(self, stored):
         self.version = stored.version
         self.found.set()
 
-    def take_evacuations(self, evacuations):
+    def apply_evacuations(self, evacuations):
         self.evacuations = evacuations
 
-    def take_view(self, view):
+    def apply_view(self, view):
         self.view = view
 
-    def take_servers(self, changed, gone):
+    def apply_servers(self, changed, gone):
         pass
 
-    def list_is_fresh(self):
+    def mark_list_fresh(self):
         pass
 
-    def follow_new_leader(self):
+    def on_new_leader(self):
         pass
 
-    def take_standing(self, stands_by):
+    def apply_standing(self, stands_by):
         self.stands_by = stands_by
 
 
@@ -164,10 +164,10 @@
                 )
                 nursery.start_soon(client.run)
                 if introduced:
-                    client.introduce(hosts[-1].place)
+                    client.add_leader_hint(hosts[-1].place)
                 if version:
                     # Another round begins, so what came with the first one has been taken.
-                    await trio.sleep(3 * tier_client.REDIAL / SECOND)
+                    await trio.sleep(3 * tier_client.REDIAL_INTERVAL / SECOND)
                 else:
                     await state.found.wait()
                 context.configured = state.version
@@ -190,7 +190,7 @@
 
 @when("a third host that knows only the first, and asks once a minute, looks for the leader")
 def step_look_once(context):
-    with patch.object(tier_client, "REDIAL", 60 * SECOND):
+    with patch.object(tier_client, "REDIAL_INTERVAL", 60 * SECOND):
         look(context, known=1)
 
 
--- a/features/steps/node_voters_steps.py
+++ b/features/steps/node_voters_steps.py
@@ -9,9 +9,9 @@
 from alderhatch.clock import SECOND
 from alderhatch.control.member_steps import AddMember, PromoteMember, RemoveMember, ReplaceMember
 from alderhatch.core.raft.membership import Member, Membership
-from alderhatch.node.founding import FoundingJudge
+from alderhatch.node.bootstrap import BootstrapCoordinator
 from alderhatch.node.tier_messages import DiskRecord, FoundingBid, Place
-from alderhatch.node.voter_plan import DiskHost, lost_after, next_step, wanted_voters
+from alderhatch.node.voter_plan import DiskHost, next_step, required_voters, voter_loss_timeout
 from features.support.voter_schedules import plays_well, schedules, successor_schedules
 
 CATCH_UP = 4 * SECOND
@@ -53,7 +53,7 @@
 )
 def step_lost(context, silent, catch_up, lost=""):
     context.unheard = dict.fromkeys(lost.split(), silent * SECOND)
-    context.patience = lost_after(catch_up * SECOND)
+    context.patience = voter_loss_timeout(catch_up * SECOND)
 
 
 @when(
@@ -64,7 +64,7 @@
     "in every {step:d}th series"
 )
 def step_successors(context, tolerated, step=1):
-    patience = lost_after(CATCH_UP)
+    patience = voter_loss_timeout(CATCH_UP)
     context.spoilt = [
         (series, copying)
         for series in successor_schedules(tolerated)[::step]
@@ -86,7 +86,7 @@
 
 @when("every {step:d}th series of {losses:d} losses is played with {tolerated:d} lost at once")
 def step_schedules(context, step, losses, tolerated):
-    patience = lost_after(CATCH_UP)
+    patience = voter_loss_timeout(CATCH_UP)
     context.spoilt = [
         (series, copying)
         for series in islice(schedules(tolerated, losses), 0, None, step)
@@ -126,12 +126,12 @@
 
 @then("for the loss of {lost:d} hosts at once {voters:d} voters are wanted")
 def step_wanted(context, lost, voters):
-    assert wanted_voters(lost) == voters
+    assert required_voters(lost) == voters
 
 
 @given("a judge of the founding")
 def step_judge(context):
-    context.judge = FoundingJudge()
+    context.coordinator = BootstrapCoordinator()
 
 
 def bid_all(context, bids):
@@ -141,7 +141,7 @@
     async def bid(name, cluster, after):
         await trio.sleep(after)
         place = Place(name, "10.0.0.1", 7380)
-        verdict = await context.judge.judge(FoundingBid(place, cluster))
+        verdict = await context.coordinator.decide(FoundingBid(place, cluster))
         context.verdicts.append(verdict.founder.name if verdict.founder else None)
 
     async def main():
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -14,7 +14,7 @@
 import trio
 from behave import given, then, when
 
-from alderhatch.node.kept_state import KEPT_NAME, BeliefKeeper
+from alderhatch.node.state_checkpoint import CHECKPOINT_NAME, CheckpointStore
 from features.support.platform_tier import HOST, ZONES, PlatformTier, call
 from features.support.tier import until
 
@@ -419,7 +419,7 @@
 
 
 def kept_file(tier, index):
-    return tier.data_folder(index) / KEPT_NAME
+    return tier.data_folder(index) / CHECKPOINT_NAME
 
 
 def kill_all(tier):
@@ -486,7 +486,7 @@
         context.has_answered = True
 
     async def restore():
-        keeper = BeliefKeeper(Path("nowhere"), None, read)
+        keeper = CheckpointStore(Path("nowhere"), None, read)
         await keeper.restore()
 
     trio.run(restore)
--- a/features/steps/tier_size_steps.py
+++ b/features/steps/tier_size_steps.py
@@ -28,7 +28,7 @@
 
 @given("a leader before {hosts:d} hosts, which followed another one with {more:d} more until now")
 def step_new_leader_of_more(context, hosts, more):
-    context.tier = TierOfHosts(hosts, alive_before=hosts + more)
+    context.tier = TierOfHosts(hosts, previous_host_count=hosts + more)
     context.script = []
 
 
@@ -49,7 +49,7 @@
 def step_lists(context, servers, times, gap):
     async def change(tier):
         for number in range(times):
-            tier.server.take_list(server_list(servers, f"list-{number}"))
+            tier.server.update_server_list(server_list(servers, f"list-{number}"))
             await trio.sleep(gap / SECOND)
 
     context.script.append(change)
@@ -152,12 +152,12 @@
     search.begin_round(places)
     for index in range(len(places)):
         place = search.next_place()
-        scope = search.begin(place)
+        scope = search.begin_attempt(place)
         with scope:
             if index < unanswered:
                 scope.cancel()
             await trio.lowlevel.checkpoint()
-        search.ended(place)
+        search.end_attempt(place)
     search.end_round()
 
 
@@ -167,12 +167,12 @@
         trio.run(ask_round, context.search, context.places, unanswered)
 
 
-@then("it asks {slowness:d} times less often")
-def step_slowness(context, slowness):
-    assert context.search.slowness == slowness, context.search.slowness
+@then("it asks {backoff_factor:d} times less often")
+def step_slowness(context, backoff_factor):
+    assert context.search.backoff_factor == backoff_factor, context.search.backoff_factor
 
 
 @then("after a round in which all answer it asks as often as at first")
 def step_fast_again(context):
     trio.run(ask_round, context.search, context.places, 0)
-    assert context.search.slowness == 1
+    assert context.search.backoff_factor == 1
--- a/features/support/tier_hosts.py
+++ b/features/support/tier_hosts.py
@@ -94,7 +94,7 @@
         alive_before: How many hosts followed the last leader.
     """
 
-    def __init__(self, hosts, strong=5, alive_before=0):
+    def __init__(self, hosts, strong=5, previous_host_count=0):
         self.hosts = [Host(index, index < strong) for index in range(hosts)]
         self.leads = True
         self.stored = StoredConfiguration(1, b"packed")
@@ -106,7 +106,7 @@
             lambda name: None,
             lambda leader: None,
             lambda some, needed: choose_caller_hosts(some, CONNECTIONS, needed),
-            lambda: alive_before,
+            lambda: previous_host_count,
             CODEC,
         )
         self.nursery = None
--- a/features/support/voter_schedules.py
+++ b/features/support/voter_schedules.py
@@ -9,7 +9,7 @@
 from alderhatch.control.member_steps import AddMember, PromoteMember, RemoveMember, ReplaceMember
 from alderhatch.core.raft.membership import Member, Membership
 from alderhatch.node.tier_messages import DiskRecord, Place
-from alderhatch.node.voter_plan import DiskHost, next_step, wanted_voters
+from alderhatch.node.voter_plan import DiskHost, next_step, required_voters
 
 TICK = 100.0
 ELECTION = 900.0
@@ -63,7 +63,7 @@
     """
 
     def __init__(self, tolerated, patience, catch_up, copying):
-        self.wanted = wanted_voters(tolerated)
+        self.wanted = required_voters(tolerated)
         self.patience = patience
         self.catch_up = catch_up
         self.copying = copying
--- a/src/alderhatch/node/founding.py
+++ b/src/alderhatch/node/bootstrap.py
@@ -12,14 +12,14 @@
 from .control_member import ControlMember
 from .tier_messages import FoundingBid, FoundingVerdict, Place
 
-FOUNDING_ROLE = "founding"
+BOOTSTRAP_ROLE = "founding"
 GATHER_TIME: Millis = 1000.0
 """How long bids are collected after the first one. All hosts of a new tier start within a third of
 this, and are up a quarter of a second later."""
 BID_PAUSE: Millis = 300.0
 
 
-class FoundingJudge:
+class BootstrapCoordinator:
     """Collects the bids at one host that all bidders agree on, and picks the founder once.
 
     Two founders would make two tiers, each with its own configuration. So all bids go to the same
@@ -33,7 +33,7 @@
         self.founder: Place | None = None
         """The host that founds the log, once it is decided."""
 
-    async def judge(self, bid: FoundingBid) -> FoundingVerdict:
+    async def decide(self, bid: FoundingBid) -> FoundingVerdict:
         """Take a bid and wait for the verdict."""
         is_first = not self._bids
         self._bids[bid.place] = bid.cluster_id
@@ -49,14 +49,14 @@
         """Answer one bidder."""
         bid = await link.receive()
         if isinstance(bid, FoundingBid):
-            await link.send(await self.judge(bid))
+            await link.send(await self.decide(bid))
 
 
-async def bid_for_founding(
+async def bootstrap_cluster(
     member: ControlMember,
     me: Place,
-    judge_at: Callable[[], Place],
-    judge: FoundingJudge,
+    coordinator_place: Callable[[], Place],
+    coordinator: BootstrapCoordinator,
     codec: Codec,
     secret: bytes,
 ) -> Place | None:
@@ -65,8 +65,8 @@
     Args:
         member: This host's part in the log.
         me: This host.
-        judge_at: Where the host is that collects the bids.
-        judge: Used if that is this host itself.
+        coordinator_place: Where the host is that collects the bids.
+        coordinator: Used if that is this host itself.
         codec: The tier's messages.
         secret: The secret that the hosts share.
 
@@ -79,16 +79,16 @@
         if member.disk is None or member.disk.cluster_id:
             continue
         bid = FoundingBid(me, member.disk.cluster_id)
-        where = judge_at()
+        where = coordinator_place()
         try:
             if (where.address, where.port) == (me.address, me.port):
-                verdict = await judge.judge(bid)
+                verdict = await coordinator.decide(bid)
             else:
                 verdict = await _ask(where, bid, me, codec, secret)
         except LinkClosedError:
             continue
         if verdict.founder == me:
-            member.found()
+            member.bootstrap()
         # Asked again, a judge that has restarted meanwhile could name another founder.
         return verdict.founder
     return None
@@ -97,7 +97,7 @@
 async def _ask(
     where: Place, bid: FoundingBid, me: Place, codec: Codec, secret: bytes
 ) -> FoundingVerdict:
-    peer = Peer(me.name, FOUNDING_ROLE)
+    peer = Peer(me.name, BOOTSTRAP_ROLE)
     async with open_link(where.address, where.port, codec, secret, peer) as link:
         await link.send(bid)
         verdict = await link.receive()
--- a/src/alderhatch/node/caller_side.py
+++ b/src/alderhatch/node/caller_side.py
@@ -135,7 +135,7 @@
         except AlderhatchError as exc:
             kind = exc.failure.kind
             if kind is ErrorKind.NOT_SERVING:
-                self._state.need_servers()
+                self._state.request_server_list()
             self._metrics.count_handed_over(kind)
             self._log.handed_over(req, None, kind, self._clock.now() - arrived)
             raise
--- a/src/alderhatch/node/configuration_desk.py
+++ b/src/alderhatch/node/configuration_service.py
@@ -17,14 +17,14 @@
 from ..log import log_event
 from ..log_events import LogEvent
 from .control_member import ControlMember
-from .voter_plan import wanted_voters
+from .voter_plan import required_voters
 
 GROWTH_SPAN: Millis = 4 * SECOND
 """How long the first change waits for all members. Hosts join within a second; where there are
 fewer disks than members wanted, the first change is taken after this time all the same."""
 
 
-class ConfigurationDesk:
+class ConfigurationService:
     """Accepts a change once enough disks hold it.
 
     Args:
@@ -44,7 +44,7 @@
         self._member = member
         self._register = register
         self._copies = tolerated + 1
-        self._wanted = wanted_voters(tolerated)
+        self._wanted = required_voters(tolerated)
         self._first_asked: Millis | None = None
         self._on_accepted = on_accepted
         self._clock = LoopClock()
--- a/src/alderhatch/node/control_member.py
+++ b/src/alderhatch/node/control_member.py
@@ -131,7 +131,7 @@
         self._on_role()
 
     @property
-    def leaderless(self) -> Millis:
+    def leaderless_time(self) -> Millis:
         """For how long, all together, this host has known no leader of the log."""
         since = self._leaderless_since
         return self._leaderless + (self._clock.now() - since if since is not None else 0.0)
@@ -140,7 +140,7 @@
         """Return how the journal was synced since it was opened; None while the disk fails."""
         return self.log.sync_figures() if self.log is not None else None
 
-    def found(self) -> None:
+    def bootstrap(self) -> None:
         """Found the replicated log with this host as its first member."""
         if self.disk is not None and self.disk.cluster_id:
             return
--- a/src/alderhatch/node/forward_runner.py
+++ b/src/alderhatch/node/forward_runner.py
@@ -96,7 +96,7 @@
             if sent_at is not None:
                 self._table.record_abandoned(send.target, sent_at, now)
             return
-        self._state.saw_attempt(flight.fingerprint, send.target, reading.fault, now)
+        self._state.record_attempt(flight.fingerprint, send.target, reading.fault, now)
         if reading.fault is not None:
             self._table.record_failure(send.target, reading.fault, reading.retry_after, now)
         elif sent_at is not None:
--- a/src/alderhatch/node/hand_over_client.py
+++ b/src/alderhatch/node/hand_over_client.py
@@ -77,7 +77,7 @@
             state = self._state
             if not any(host.name == state.name for host in state.caller_hosts):
                 continue
-            if not state.gathers_many:
+            if not state.has_split_gather:
                 continue
             now = self._clock.now()
             for host in state.owners.hosts.values():
@@ -138,7 +138,7 @@
                 run.lost(host, exc.was_sent, self._clock.now())
                 continue
             if isinstance(reply, HandedAnswer):
-                self._state.saw_version(reply.version)
+                self._state.record_seen_version(reply.version)
                 return Handed(host.name, _response(reply))
             if isinstance(reply, PartsEnd):
                 run.lost(host, True, self._clock.now())
--- a/src/alderhatch/node/host_probe.py
+++ b/src/alderhatch/node/host_probe.py
@@ -12,7 +12,7 @@
 from ..log_events import LogEvent
 from .leader_search import DIAL_TIMEOUT
 from .node_state import NodeState
-from .tier_client import LEADER_SILENT
+from .tier_client import LEADER_SILENCE_TIMEOUT
 
 PROBE_EVERY: Millis = 1 * SECOND
 """Callers keep an answer for seconds, so a host that is gone need not be noticed sooner."""
@@ -31,7 +31,7 @@
         await trio.sleep(PROBE_EVERY / SECOND)
         if has_leader():
             led_at = clock.now()
-        elif clock.now() - led_at >= LEADER_SILENT:
+        elif clock.now() - led_at >= LEADER_SILENCE_TIMEOUT:
             await _probe(state)
 
 
@@ -39,9 +39,9 @@
     before = state.unreachable_hosts
     reached: dict[str, bool] = {}
     async with trio.open_nursery() as nursery:
-        for host in state.hosts_to_try():
+        for host in state.hosts_to_probe():
             nursery.start_soon(_try_host, host, reached)
-    state.saw_hosts(reached)
+    state.record_host_probes(reached)
     if state.unreachable_hosts != before:
         log_event(LogEvent.HOSTS_OUT_OF_REACH, hosts=sorted(state.unreachable_hosts))
 
--- a/src/alderhatch/node/introductions.py
+++ b/src/alderhatch/node/leader_announcements.py
@@ -16,7 +16,7 @@
 DIAL_TIMEOUT: Millis = 800.0
 
 
-async def introduce_leader(
+async def announce_leader(
     server: TierServer,
     me: Place,
     seeds: Callable[[], Iterable[Place]],
@@ -41,7 +41,7 @@
         if not server.leads:
             continue
         for seed in seeds():
-            if not server.follows(seed.address) and seed.address != me.address:
+            if not server.has_follower(seed.address) and seed.address != me.address:
                 await _introduce(seed, me, codec, secret)
 
 
--- a/src/alderhatch/node/leader_search.py
+++ b/src/alderhatch/node/leader_search.py
@@ -12,7 +12,7 @@
 
 DIAL_TIMEOUT: Millis = 400.0
 """Hosts are 3 ms away; one that needs longer is dark or busy, and others wait to be tried."""
-LEADER_TIMEOUT: Millis = 1600.0
+HINTED_DIAL_TIMEOUT: Millis = 1600.0
 """For a host that another one names as the leader. When a leader is new, all hosts come to it at
 once; were each to give up and come again, it would never have answered them all."""
 MAX_SLOWNESS = 8.0
@@ -30,9 +30,9 @@
         """Who is to be asked in this round, the next one first."""
         self.progress = trio.Event()
         """Set when a host has answered, or can't."""
-        self.is_settled = False
+        self.leader_found = False
         """Whether a leader was found."""
-        self.slowness = 1.0
+        self.backoff_factor = 1.0
         """By how much this host asks less often than it would if all answered."""
         self._asked: set[Place] = set()
         self._unanswered = 0
@@ -52,15 +52,15 @@
         answered in time; were they all to ask again at once, it would stay so.
         """
         is_slow = 2 * self._unanswered > len(self._asked)
-        self.slowness = min(MAX_SLOWNESS, 2 * self.slowness) if is_slow else 1.0
+        self.backoff_factor = min(MAX_SLOWNESS, 2 * self.backoff_factor) if is_slow else 1.0
 
     @property
     def is_round_over(self) -> bool:
         """Whether a leader was found, or nobody is left who could name one soon."""
         awaited = self._dialling.keys() - self._hinted
-        return self.is_settled or not (self.left or awaited)
+        return self.leader_found or not (self.left or awaited)
 
-    def take_hint(self, place: Place) -> None:
+    def add_hint(self, place: Place) -> None:
         """Ask a host next that is said to lead, and wait longer for it."""
         self.left.appendleft(place)
         self._hinted.add(_bare(place))
@@ -74,19 +74,19 @@
                 return place
         return None
 
-    def begin(self, place: Place) -> trio.CancelScope:
+    def begin_attempt(self, place: Place) -> trio.CancelScope:
         """Return what bounds the time for one host's answer."""
         is_named = _bare(place) in self._hinted
-        timeout = LEADER_TIMEOUT if is_named else DIAL_TIMEOUT * self.slowness
+        timeout = HINTED_DIAL_TIMEOUT if is_named else DIAL_TIMEOUT * self.backoff_factor
         scope = trio.CancelScope(deadline=trio.current_time() + timeout / SECOND)
         self._dialling[_bare(place)] = scope
         return scope
 
-    def settle_on(self, place: Place) -> bool:
+    def select_leader(self, place: Place) -> bool:
         """Leave all others for the host that has just answered; False if one was before it."""
-        if self.is_settled:
+        if self.leader_found:
             return False
-        self.is_settled = True
+        self.leader_found = True
         for other, scope in self._dialling.items():
             if other != _bare(place):
                 scope.cancel()
@@ -94,7 +94,7 @@
         self.progress.set()
         return True
 
-    def ended(self, place: Place) -> None:
+    def end_attempt(self, place: Place) -> None:
         """Take note that a host has answered, or that it can't be asked."""
         scope = self._dialling.pop(_bare(place))
         self._hinted.discard(_bare(place))
--- a/src/alderhatch/node/node.py
+++ b/src/alderhatch/node/node.py
@@ -22,20 +22,19 @@
 from ..log_events import LogEvent
 from ..log_output import BoundedLogHandler
 from ..stop_signal import STOP_SIGNALS, wait_for_stop
+from .bootstrap import BOOTSTRAP_ROLE, BootstrapCoordinator, bootstrap_cluster
 from .caller_side import CallerSide
-from .configuration_desk import ConfigurationDesk
+from .configuration_service import ConfigurationService
 from .control_member import ControlMember
 from .dialect import Dialect
 from .forward_runner import ForwardRunner
-from .founding import FOUNDING_ROLE, FoundingJudge, bid_for_founding
 from .gather_messages import GATHER_MESSAGE_TYPES
 from .gather_server import GatherServer
 from .hand_over_client import HandOverClient
 from .hand_over_messages import HAND_OVER_MESSAGE_TYPES, HAND_OVER_ROLE
 from .hand_over_server import HandOverServer
 from .host_probe import probe_hosts
-from .introductions import introduce_leader
-from .kept_state import BeliefKeeper
+from .leader_announcements import announce_leader
 from .node_metrics import NodeMetrics
 from .node_settings import NodeSettings
 from .node_state import Decoder, NodeState
@@ -43,6 +42,7 @@
 from .request_log import RequestLog
 from .server_list import FRESH_FOR, ServerListReader, ServerListSource
 from .split_gather import SplitGathers
+from .state_checkpoint import CheckpointStore
 from .tier_client import TierClient
 from .tier_messages import (
     TIER_MESSAGE_TYPES,
@@ -55,7 +55,7 @@
     Report,
 )
 from .tier_server import HOST_ROLE, TierServer
-from .voter_keeper import VoterKeeper
+from .voter_reconciler import VoterReconciler
 
 CONTROL_ROLE = "control"
 LINK_MESSAGE_TYPES = (*HAND_OVER_MESSAGE_TYPES, *GATHER_MESSAGE_TYPES)
@@ -133,9 +133,9 @@
             self._list_is_fresh,
             self._redirect,
             self._kept,
-            lambda leader: self._client.introduce(leader),
+            lambda leader: self._client.add_leader_hint(leader),
             self.state.choose,
-            lambda: self.state.hosts_alive,
+            lambda: self.state.live_host_count,
             self._codec,
         )
         self._reader = ServerListReader(source, self.state, self._server, self._rng)
@@ -143,7 +143,7 @@
             self._join, self._report, self._places, self.state, self._codec, cfg.secret
         )
         self._runner = ForwardRunner(self._pool, self.state, dialect)
-        self._judge = FoundingJudge()
+        self._judge = BootstrapCoordinator()
         self.log_output = log_output
         """Where log lines go, if they are bounded."""
         self.metrics = NodeMetrics(self)
@@ -168,7 +168,7 @@
             lambda: self.state.stored.version,
             self._serving,
         )
-        self.desk = ConfigurationDesk(
+        self.configuration_service = ConfigurationService(
             self.member, self._register, cfg.tolerated_hosts, self.metrics.count_change
         )
 
@@ -211,21 +211,21 @@
     @property
     def leader_heard_at(self) -> Millis:
         """When the leader was last heard; 0 if never."""
-        return self._client.heard_at
+        return self._client.last_heard_at
 
     def _list_is_fresh(self) -> bool:
         return self.state.list_age() < FRESH_FOR
 
     def _orders_changed(self) -> None:
-        self._server.news.notify()
+        self._server.updates_pending.notify()
 
     def _role_changed(self) -> None:
         # A voter hears of a new leader at once; left to its search, it would find it by chance.
         leader = self.member.leader() if self.member is not None else None
         if leader is not None and self._client.leader is None:
-            self._client.introduce(leader)
+            self._client.add_leader_hint(leader)
         self._server.role_changed.notify()
-        self._server.news.notify()
+        self._server.updates_pending.notify()
 
     def _disk(self) -> DiskRecord | None:
         return self.member.disk if self.member is not None else None
@@ -237,7 +237,7 @@
         return Join(cfg.place, cfg.zone, caller_address, cfg.processor, self._disk(), started)
 
     def _report(self) -> Report:
-        crashes = self.state.take_crashes()
+        crashes = self.state.take_crash_reports()
         sends = self.state.table.take_sends()
         version = self.state.stored.version
         wants_servers = self.state.wants_servers
@@ -250,7 +250,7 @@
         state = self.state
         if state.stored.version == 0 or state.view is None:
             return None
-        has_use = self._list_is_fresh() and state.view.needs(name)
+        has_use = self._list_is_fresh() and state.view.is_active_host(name)
         servers = list(state.records.values()) if has_use else []
         news = ConfigurationNews(*state.stored)
         return KeptNews(news, state.view, servers, state.evacuations)
@@ -274,7 +274,7 @@
     async def _serve(self, handlers: EdgeHandlers, signals: AsyncIterator[int]) -> None:
         async with trio.open_nursery() as nursery:
             if self.cfg.data_folder is not None:
-                keeper = BeliefKeeper(self.cfg.data_folder, self.state)
+                keeper = CheckpointStore(self.cfg.data_folder, self.state)
                 await keeper.restore()
                 nursery.start_soon(keeper.run)
             await nursery.start(self._pool.run)
@@ -286,7 +286,7 @@
                 nursery.start_soon(self._server.run)
                 nursery.start_soon(self._watch_lead)
                 nursery.start_soon(self._introduce)
-                voters = VoterKeeper(
+                voters = VoterReconciler(
                     self.member, self._server, self.cfg.tolerated_hosts, self.cfg.catch_up
                 )
                 nursery.start_soon(voters.run)
@@ -320,12 +320,12 @@
 
     async def _introduce(self) -> None:
         cfg = self.cfg
-        await introduce_leader(self._server, cfg.place, lambda: self.seeds, self._codec, cfg.secret)
+        await announce_leader(self._server, cfg.place, lambda: self.seeds, self._codec, cfg.secret)
 
     async def _bid(self) -> None:
         assert self.member is not None
         cfg = self.cfg
-        self._founder = await bid_for_founding(
+        self._founder = await bootstrap_cluster(
             self.member, cfg.place, self._judge_place, self._judge, self._codec, cfg.secret
         )
 
@@ -391,7 +391,7 @@
                 await self._server.serve(link)
             case role if role == HAND_OVER_ROLE:
                 await self._hand_over_server.serve(link)
-            case role if role == FOUNDING_ROLE and self.cfg.first_start:
+            case role if role == BOOTSTRAP_ROLE and self.cfg.first_start:
                 await self._judge.serve(link)
             case role:
                 log_event(LogEvent.LINK_ROLE_REFUSED, peer=link.peer.name, role=role)
@@ -401,7 +401,7 @@
         began = self._clock.now()
         self._leaving = True
         self._serving.closing = True
-        self._client.changed.notify()
+        self._client.report_changed.notify()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._hand_over)
             await trio.sleep(max(0.0, self.cfg.stop_span - STOP_SERVING_BEFORE) / SECOND)
--- a/src/alderhatch/node/node_metrics.py
+++ b/src/alderhatch/node/node_metrics.py
@@ -78,9 +78,9 @@
         for name, count in state.table.count_states(now).items():
             metrics.set(Metric.NODE_SERVERS, count, name)
         metrics.set(Metric.NODE_RUNNING, node.running)
-        metrics.set(Metric.NODE_HOSTS, state.hosts_alive)
+        metrics.set(Metric.NODE_HOSTS, state.live_host_count)
         metrics.set(Metric.NODE_CONFIGURATION, state.stored.version)
-        if state.listed_at is not None:
+        if state.list_fresh_at is not None:
             metrics.set(Metric.NODE_LIST_AGE, state.list_age() / SECOND)
         if node.leader_heard_at:
             metrics.set(Metric.NODE_LEADER_SILENCE, (now - node.leader_heard_at) / SECOND)
@@ -92,7 +92,7 @@
 
     def _copy_log(self, member: ControlMember) -> None:
         metrics = self._metrics
-        metrics.set(Metric.NODE_LOG_LEADERLESS, member.leaderless / SECOND)
+        metrics.set(Metric.NODE_LOG_LEADERLESS, member.leaderless_time / SECOND)
         status = member.status()
         if status is not None:
             metrics.set(Metric.NODE_LOG_INDEX, status.commit_index)
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -90,13 +90,13 @@
         """Notified when a newer configuration is in use."""
         self.records: dict[str, ServerRecord] = {}
         """All listed servers by their ids."""
-        self.listed_at: Millis | None = None
+        self.list_fresh_at: Millis | None = None
         """When the list was last known to be fresh."""
         self.view: TierView | None = None
         """The leader's last word of who is there."""
         self.hosts: list[HostRecord] = []
         """The live hosts that serve callers or may be next, by the leader's last word."""
-        self.hosts_alive = 0
+        self.live_host_count = 0
         """How many hosts there are in all."""
         self.caller_hosts: list[HostRecord] = []
         """Those of them that callers are sent to."""
@@ -122,7 +122,7 @@
 
     # The configuration
 
-    def take_configuration(self, stored: StoredConfiguration) -> None:
+    def apply_configuration(self, stored: StoredConfiguration) -> None:
         """Serve by a configuration if it is newer than the present one."""
         if stored.version <= self.stored.version:
             return
@@ -142,7 +142,7 @@
         log_event(LogEvent.CONFIGURATION_ADOPTED, version=stored.version, routes=len(cfg.routes))
 
     @property
-    def gathers_many(self) -> bool:
+    def has_split_gather(self) -> bool:
         """Whether any route gathers so many parts that several hosts ask for them."""
         return self.owners.split_since is not None
 
@@ -154,11 +154,11 @@
         """
         return max(self._seen_version, self.stored.version)
 
-    def saw_version(self, version: int) -> None:
+    def record_seen_version(self, version: int) -> None:
         """Take the number of a configuration that another host served a caller of this one by."""
         self._seen_version = max(self._seen_version, version)
 
-    def take_evacuations(self, evacuations: Evacuations) -> None:
+    def apply_evacuations(self, evacuations: Evacuations) -> None:
         """Send nothing more to servers of evacuated availability zones, and again to the others.
 
         Nothing ever takes a host back to an earlier order.
@@ -173,7 +173,7 @@
 
     # The servers
 
-    def take_servers(self, changed: Iterable[ServerRecord], gone: Iterable[str]) -> None:
+    def apply_servers(self, changed: Iterable[ServerRecord], gone: Iterable[str]) -> None:
         """Take what changed in the list of servers."""
         for server_id in gone:
             self.records.pop(server_id, None)
@@ -181,20 +181,24 @@
             self.records[record.server_id] = record
         self._connect()
 
-    def list_is_fresh(self) -> None:
+    def mark_list_fresh(self) -> None:
         """Note that the list of servers is as new as can be."""
-        self.listed_at = self._clock.now()
+        self.list_fresh_at = self._clock.now()
 
     def list_age(self) -> Millis:
         """Return how long ago the list was known to be fresh."""
-        return self._clock.now() - self.listed_at if self.listed_at is not None else float("inf")
+        return (
+            self._clock.now() - self.list_fresh_at
+            if self.list_fresh_at is not None
+            else float("inf")
+        )
 
     @property
     def is_started(self) -> bool:
         """Whether the node knows its configuration and the servers."""
         return self.started.is_set()
 
-    def take_standing(self, stands_by: bool) -> None:
+    def apply_standing(self, stands_by: bool) -> None:
         """Take the leader's word of whether this host asks servers itself."""
         if stands_by == self.stands_by:
             return
@@ -203,15 +207,15 @@
         log_event(LogEvent.STANDING_CHANGED, stands_by=stands_by)
         if stands_by:
             # A list that nobody brings up to date names servers that are leaving.
-            self.take_servers((), list(self.records))
-            self.listed_at = None
+            self.apply_servers((), list(self.records))
+            self.list_fresh_at = None
 
     @property
     def hands_over(self) -> bool:
         """Whether requests are handed over: this host stands by and knows no servers."""
         return self.stands_by and not self.records
 
-    def need_servers(self) -> None:
+    def request_server_list(self) -> None:
         """Ask for the list of servers, as no host was found to hand a request over to."""
         self.wants_servers = True
 
@@ -237,7 +241,7 @@
 
     # Requests that crash servers
 
-    def saw_attempt(
+    def record_attempt(
         self, fingerprint: str, target: Target, fault: AttemptFault | None, now: Millis
     ) -> None:
         """Take what became of a request at a server."""
@@ -263,7 +267,7 @@
             return True
         return self.crash_detector.is_quarantined(fingerprint, now)
 
-    def take_quarantine(self, fingerprints: Iterable[str]) -> None:
+    def apply_quarantine(self, fingerprints: Iterable[str]) -> None:
         """Take the leader's word of which requests are refused everywhere.
 
         Each is refused for as long as callers are told, also if no leader says that it is over.
@@ -272,7 +276,7 @@
         known = self._quarantined_until
         self._quarantined_until = {one: known.get(one, until) for one in fingerprints}
 
-    def take_crashes(self) -> list[CrashReport]:
+    def take_crash_reports(self) -> list[CrashReport]:
         """Return the crashes to be reported, once."""
         crashes = self.crashes[:MAX_CRASHES]
         self.crashes = []
@@ -281,7 +285,7 @@
         self._told_crashes = [*told, *((now, crash) for crash in crashes)]
         return crashes
 
-    def follow_new_leader(self) -> None:
+    def on_new_leader(self) -> None:
         """Tell a leader that is new to this host what the last one was told.
 
         Leaders keep what is reported in memory. A body that has crashed one server would be allowed
@@ -294,12 +298,12 @@
 
     # The hosts
 
-    def take_view(self, view: TierView) -> None:
+    def apply_view(self, view: TierView) -> None:
         """Take the leader's word of who is there."""
         # Those of the last view were there until now, however long ago that came.
         alive = max(len(view.hosts), view.alive)
-        most = max(self.hosts_alive, alive)
-        self.hosts_alive = alive
+        most = max(self.live_host_count, alive)
+        self.live_host_count = alive
         self.view = view
         self._reach = HostReachability()
         self.hosts = view.hosts
@@ -317,13 +321,13 @@
         """The names of hosts that were not reached since the leader's last word."""
         return self._reach.unreachable
 
-    def hosts_to_try(self) -> list[HostRecord]:
+    def hosts_to_probe(self) -> list[HostRecord]:
         """Return the other hosts of which it should be known whether they can be reached."""
         named = self.choose(self._reach.reachable(self.hosts), self.processor_needed)
         lost = [host for host in self.hosts if host.name in self._reach.unreachable]
         return [host for host in (*named, *lost) if host.name != self.name]
 
-    def saw_hosts(self, reached: Mapping[str, bool]) -> None:
+    def record_host_probes(self, reached: Mapping[str, bool]) -> None:
         """Take which of those hosts were reached, by name."""
         self._reach.record_probes(reached)
         self._choose_caller_hosts()
--- a/src/alderhatch/node/request_log.py
+++ b/src/alderhatch/node/request_log.py
@@ -155,7 +155,7 @@
             "retries": run.retries,
             "configuration": self._state.stored.version,
             "list_age_ms": round(age) if age != float("inf") else None,
-            "hosts": self._state.hosts_alive,
+            "hosts": self._state.live_host_count,
         }
 
 
--- a/src/alderhatch/node/server_list.py
+++ b/src/alderhatch/node/server_list.py
@@ -88,7 +88,7 @@
     async def _read_while_leading(self) -> None:
         if self._state.list_age() < FRESH_FOR:
             # A new leader tells at once what it read before it was elected.
-            self._server.take_list(dict(self._state.records))
+            self._server.update_server_list(dict(self._state.records))
         while self._server.leads:
             await self._read()
             await trio.sleep(READ_EVERY / SECOND)
@@ -109,10 +109,10 @@
             name: self._cold_ends[name] for name in self._cold_ends if name in records
         }
         if self._server.leads:
-            self._server.take_list(records)
+            self._server.update_server_list(records)
         if records != self._state.records:
-            self._state.take_servers(records.values(), list(self._state.records))
-        self._state.list_is_fresh()
+            self._state.apply_servers(records.values(), list(self._state.records))
+        self._state.mark_list_fresh()
 
     def _steady(self, record: ServerRecord) -> ServerRecord:
         """Return a record that differs from the last one only if the server itself does.
--- a/src/alderhatch/node/kept_state.py
+++ b/src/alderhatch/node/state_checkpoint.py
@@ -19,7 +19,7 @@
 from .node_state import NodeState
 from .tier_messages import ConfigurationNews, TierView
 
-KEPT_NAME = "beliefs"
+CHECKPOINT_NAME = "beliefs"
 WRITTEN_NAME = "beliefs.new"
 KEEP_EVERY: Millis = 300.0
 """How soon a change is on the disk; of several that follow closely only the newest is written."""
@@ -41,7 +41,7 @@
 CODEC = Codec(KeptState)
 
 
-class BeliefKeeper:
+class CheckpointStore:
     """Writes a node's beliefs beside its replicated log, and reads them after a start.
 
     After a restart of all hosts the log first has to elect a leader, and each host to find it.
@@ -83,12 +83,12 @@
         if kept is None:
             return
         self._kept = kept
-        self._state.take_evacuations(kept.evacuations)
-        self._state.take_configuration(StoredConfiguration(*kept.configuration))
+        self._state.apply_evacuations(kept.evacuations)
+        self._state.apply_configuration(StoredConfiguration(*kept.configuration))
         # Some may not have served just when the view was kept, this one among them. Left out, they
         # would be named to no caller until there is a leader.
         hosts = [host._replace(serving=True) for host in kept.view.hosts]
-        self._state.take_view(kept.view._replace(hosts=hosts))
+        self._state.apply_view(kept.view._replace(hosts=hosts))
 
     async def run(self) -> None:
         """Keep the beliefs as they change, until cancelled."""
@@ -117,11 +117,11 @@
 
 def _read(folder: Path) -> KeptState | None:
     files = DiskFiles(folder)
-    if KEPT_NAME not in files.names():
+    if CHECKPOINT_NAME not in files.names():
         return None
-    kept: KeptState = CODEC.decode(files.read(KEPT_NAME))
+    kept: KeptState = CODEC.decode(files.read(CHECKPOINT_NAME))
     return kept
 
 
 def _write(folder: Path, beliefs: KeptState) -> None:
-    write_whole(DiskFiles(folder), KEPT_NAME, WRITTEN_NAME, CODEC.encode(beliefs))
+    write_whole(DiskFiles(folder), CHECKPOINT_NAME, WRITTEN_NAME, CODEC.encode(beliefs))
--- a/src/alderhatch/node/tier_client.py
+++ b/src/alderhatch/node/tier_client.py
@@ -33,11 +33,11 @@
 from .tier_server import HOST_ROLE
 
 REPORT_EVERY: Millis = 500.0
-LEADER_SILENT: Millis = 1600.0
+LEADER_SILENCE_TIMEOUT: Millis = 1600.0
 """A leader that says nothing for three pulses is gone, or the way to it is."""
 STAGGER: Millis = 60.0
 """How long a host is awaited before the next one is asked as well; a link takes some 10 ms."""
-REDIAL: Millis = 120.0
+REDIAL_INTERVAL: Millis = 120.0
 MAX_REMEMBERED = 32
 """Places of hosts met before that are tried when neither seeds nor the log's hosts answer."""
 
@@ -77,27 +77,27 @@
         self._met: list[Place] = []
         self.leader: Place | None = None
         """The leader that this host follows now."""
-        self.heard_at: Millis = 0.0
+        self.last_heard_at: Millis = 0.0
         """When the leader was last heard."""
         self._introduced = Signal()
-        self.changed = Signal()
+        self.report_changed = Signal()
         """To be notified when the report has changed and should go out at once."""
 
     async def run(self) -> None:
         """Follow whoever leads until cancelled."""
         while True:
             await self._look()
-            await self._introduced.wait_for(REDIAL)
+            await self._introduced.wait_for(REDIAL_INTERVAL)
 
     async def _look(self) -> None:
         """Ask hosts for the leader in rounds, and follow it while it leads."""
         search = LeaderSearch()
         async with trio.open_nursery() as nursery:
-            while not search.is_settled:
+            while not search.leader_found:
                 await self._ask_round(search, nursery)
-                if not search.is_settled:
-                    spread = 1.0 + self._rng.random() * (search.slowness - 1.0)
-                    await self._introduced.wait_for(REDIAL * spread)
+                if not search.leader_found:
+                    spread = 1.0 + self._rng.random() * (search.backoff_factor - 1.0)
+                    await self._introduced.wait_for(REDIAL_INTERVAL * spread)
 
     async def _ask_round(self, search: LeaderSearch, nursery: trio.Nursery) -> None:
         """Ask each known host once.
@@ -116,18 +116,18 @@
             place = search.next_place()
             if place is not None:
                 nursery.start_soon(self._try, place, search)
-            with trio.move_on_after(STAGGER * search.slowness / SECOND):
+            with trio.move_on_after(STAGGER * search.backoff_factor / SECOND):
                 await search.progress.wait()
             search.progress = trio.Event()
             self._take_hint(search)
         search.end_round()
 
     def _take_hint(self, search: LeaderSearch) -> None:
-        if self._hint is not None and not search.is_settled:
-            search.take_hint(self._hint)
+        if self._hint is not None and not search.leader_found:
+            search.add_hint(self._hint)
             self._hint = None
 
-    def introduce(self, leader: Place) -> None:
+    def add_leader_hint(self, leader: Place) -> None:
         """Take a leader's word that it leads."""
         self._hint = leader
         self._introduced.notify()
@@ -137,7 +137,7 @@
         peer = Peer(self._join().place.name, HOST_ROLE)
         follows = False
         try:
-            with search.begin(place):
+            with search.begin_attempt(place):
                 async with open_link(
                     place.address, place.port, self._codec, self._secret, peer
                 ) as link:
@@ -149,13 +149,13 @@
                     if isinstance(first, Redirect):
                         self._redirected(first)
                         return
-                    follows = search.settle_on(place)
+                    follows = search.select_leader(place)
                     if follows:
                         await self._follow(place, link, first)
         except LinkClosedError:
             pass
         finally:
-            search.ended(place)
+            search.end_attempt(place)
             if follows:
                 log_event(LogEvent.LEADER_LOST, leader=place.name, address=place.address)
                 self.leader = None
@@ -163,15 +163,15 @@
     def _take_kept(self, kept: KeptNews) -> None:
         if self._state.is_started:
             return
-        self._state.take_evacuations(kept.evacuations)
-        self._state.take_configuration(StoredConfiguration(*kept.configuration))
+        self._state.apply_evacuations(kept.evacuations)
+        self._state.apply_configuration(StoredConfiguration(*kept.configuration))
         if self._state.view is None:
-            self._state.take_view(kept.view)
+            self._state.apply_view(kept.view)
         # Without a leader nobody tells this host so. As it needs no servers for it, its callers are
         # served at once.
-        self._state.take_standing(not kept.view.needs(self._state.name))
+        self._state.apply_standing(not kept.view.is_active_host(self._state.name))
         if not self._state.records:
-            self._state.take_servers(kept.servers, [])
+            self._state.apply_servers(kept.servers, [])
 
     def _redirected(self, redirect: Redirect) -> None:
         known = {(one.address, one.port) for one in self._met}
@@ -181,14 +181,14 @@
 
     async def _follow(self, place: Place, link: Link, first: object) -> None:
         self.leader = place
-        self._state.follow_new_leader()
+        self._state.on_new_leader()
         log_event(LogEvent.LEADER_FOUND, leader=place.name, address=place.address)
         self._take(first)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._keep_reporting, link, nursery.cancel_scope)
             while True:
                 message: object = None
-                with trio.move_on_after(LEADER_SILENT / SECOND):
+                with trio.move_on_after(LEADER_SILENCE_TIMEOUT / SECOND):
                     try:
                         message = await link.receive()
                     except LinkClosedError:
@@ -202,28 +202,28 @@
         try:
             while True:
                 await link.send(self._report())
-                await self.changed.wait_for(REPORT_EVERY)
+                await self.report_changed.wait_for(REPORT_EVERY)
         except LinkClosedError:
             scope.cancel()
 
     def _take(self, message: object) -> None:
-        self.heard_at = self._clock.now()
+        self.last_heard_at = self._clock.now()
         match message:
             case ConfigurationNews(version, packed):
-                self._state.take_configuration(StoredConfiguration(version, packed))
-                self.changed.notify()
+                self._state.apply_configuration(StoredConfiguration(version, packed))
+                self.report_changed.notify()
             case ServerNews(complete, changed, gone):
-                self._state.take_standing(False)
-                self._state.take_servers(changed, list(self._state.records) if complete else gone)
-                self._state.list_is_fresh()
+                self._state.apply_standing(False)
+                self._state.apply_servers(changed, list(self._state.records) if complete else gone)
+                self._state.mark_list_fresh()
             case EvacuationNews(evacuations):
-                self._state.take_evacuations(evacuations)
+                self._state.apply_evacuations(evacuations)
             case TierView():
-                self._state.take_view(message)
+                self._state.apply_view(message)
             case Standing(stands_by):
-                self._state.take_standing(stands_by)
+                self._state.apply_standing(stands_by)
             case QuarantineNews(fingerprints):
-                self._state.take_quarantine(fingerprints)
+                self._state.apply_quarantine(fingerprints)
             case Pulse(list_is_fresh):
                 if list_is_fresh:
-                    self._state.list_is_fresh()
+                    self._state.mark_list_fresh()
--- a/src/alderhatch/node/tier_messages.py
+++ b/src/alderhatch/node/tier_messages.py
@@ -98,7 +98,7 @@
     alive: int = 0
     """How many hosts are there in all, rounded up; never fewer than are named."""
 
-    def needs(self, name: str) -> bool:
+    def is_active_host(self, name: str) -> bool:
         """Return whether a host is one of those that ask servers: it is named, or all are."""
         is_small = self.alive <= max(MIN_ADVERTISED_HOSTS, len(self.hosts))
         return is_small or any(host.name == name for host in self.hosts)
--- a/src/alderhatch/node/tier_server.py
+++ b/src/alderhatch/node/tier_server.py
@@ -34,7 +34,7 @@
     Report,
     TierView,
 )
-from .tier_news import Duty, TierNews, Told
+from .tier_updates import HostMode, SentState, TierUpdates
 from .voter_plan import DiskHost
 
 HOST_ROLE = "host"
@@ -67,8 +67,8 @@
         self.serving = False
         self.disk = join.disk
         self.joined_at = now
-        self.duty = Duty.UNDECIDED
-        self.told = Told()
+        self.duty = HostMode.UNDECIDED
+        self.told = SentState()
 
     def record(self) -> HostRecord:
         """Return the host as callers need to know it."""
@@ -109,7 +109,7 @@
         kept: Callable[[str], KeptNews | None],
         on_introduction: Callable[[Place], None],
         choose: Callable[[Iterable[HostRecord], float], list[HostRecord]],
-        alive_before: Callable[[], int],
+        previous_host_count: Callable[[], int],
         codec: Codec,
     ) -> None:
         self._member = member
@@ -119,15 +119,15 @@
         self._kept = kept
         self._on_introduction = on_introduction
         self._choose = choose
-        self._alive_before = alive_before
+        self._alive_before = previous_host_count
         self._clock = LoopClock()
         self._sessions: dict[str, _Session] = {}
         self._view_due = trio.Event()
         """Set when who is there has changed; replaced when it is told."""
-        self._news = TierNews(codec.encode)
+        self._news = TierUpdates(codec.encode)
         self._crashes = CrashCounter()
         self._demand = HostDemand()
-        self.news = Signal()
+        self.updates_pending = Signal()
         """Notified when there is something to tell the hosts."""
         self.role_changed = Signal()
         """Notified when this host may have begun or ceased to lead."""
@@ -137,10 +137,10 @@
         """Whether this host leads."""
         return self._member is not None and self._member.leads
 
-    def take_list(self, records: dict[str, ServerRecord]) -> None:
+    def update_server_list(self, records: dict[str, ServerRecord]) -> None:
         """Take a newer list of servers and tell all hosts what changed."""
-        if self._news.take_servers(records):
-            self.news.notify()
+        if self._news.set_servers(records):
+            self.updates_pending.notify()
 
     def disk_hosts(self) -> dict[str, DiskHost]:
         """Return the live hosts that have a data folder, by name."""
@@ -150,7 +150,7 @@
             if session.disk is not None
         }
 
-    def follows(self, address: str) -> bool:
+    def has_follower(self, address: str) -> bool:
         """Return whether the host at an address follows this one."""
         return any(one.join.place.address == address for one in self._sessions.values())
 
@@ -184,7 +184,7 @@
             session = _Session(join, link, nursery.cancel_scope, self._clock.now())
             self._sessions[name] = session
             if len(self._sessions) <= MIN_ADVERTISED_HOSTS:
-                session.duty = Duty.AT_FIRST
+                session.duty = HostMode.AT_FIRST
             log_event(LogEvent.HOST_JOINED, host=name, zone=join.zone)
             self._view_due.set()
             try:
@@ -212,9 +212,9 @@
             session.disk = message.disk
             self._take_crashes(message)
             self._demand.count(message.sends, session.heard_at)
-            if message.wants_servers and session.duty is not Duty.SERVES:
-                session.duty = Duty.SERVES
-                self.news.notify()
+            if message.wants_servers and session.duty is not HostMode.SERVES:
+                session.duty = HostMode.SERVES
+                self.updates_pending.notify()
             if message.serving != session.serving:
                 session.serving = message.serving
                 self._view_due.set()
@@ -230,13 +230,13 @@
             # The host asks others as well until it hears that this one leads.
             await session.link.send(self._pulse(session))
             while True:
-                news = self._news.since(session.told, self._orders(), session.duty)
+                news = self._news.updates_since(session.told, self._orders(), session.duty)
                 session.told = news.told
                 for message in news.messages:
                     await session.link.send_encoded(message)
                 if news.has_configuration:
                     await trio.sleep(CONFIGURATION_GAP / SECOND)
-                elif not news.messages and not await self.news.wait_for(PULSE_EVERY):
+                elif not news.messages and not await self.updates_pending.wait_for(PULSE_EVERY):
                     await session.link.send(self._pulse(session))
         except LinkClosedError:
             session.scope.cancel()
@@ -277,7 +277,7 @@
             self._view_due = trio.Event()
             if not self.leads:
                 led_at = None
-                self._news.forget_view()
+                self._news.clear_view()
                 continue
             now = self._clock.now()
             led_at = led_at or now
@@ -288,9 +288,9 @@
     def _tell_view(self, now: Millis) -> None:
         view = self.view()
         has_duties = self._give_duties({host.name for host in view.hosts}, now)
-        has_view = self._news.take_view(view)
-        if self._news.take_refused(self._crashes.refused(now)) or has_view or has_duties:
-            self.news.notify()
+        has_view = self._news.set_view(view)
+        if self._news.set_quarantined(self._crashes.refused(now)) or has_view or has_duties:
+            self.updates_pending.notify()
 
     def _give_duties(self, named: set[str], now: Millis) -> bool:
         """Decide who follows the list of servers, and who stands by; return whether any is new.
@@ -301,7 +301,7 @@
         is_new = False
         for name, session in self._sessions.items():
             before = session.duty
-            if before is not Duty.SERVES:
+            if before is not HostMode.SERVES:
                 is_settled = now - session.joined_at >= SETTLE
                 session.duty = _duty(before, name in named or is_small, is_settled)
             is_new = is_new or session.duty is not before
@@ -328,7 +328,7 @@
         return TierView(told, controls, needed, advertised_host_count(len(hosts)))
 
 
-def _duty(before: Duty, is_needed: bool, is_settled: bool) -> Duty:
+def _duty(before: HostMode, is_needed: bool, is_settled: bool) -> HostMode:
     """Return the duty of a host that is not known to serve.
 
     Args:
@@ -337,5 +337,5 @@
         is_settled: Whether it joined so long ago that those that joined with it are there as well.
     """
     if is_needed:
-        return Duty.SERVES if is_settled else Duty.AT_FIRST
-    return Duty.STANDS_BY if is_settled else before
+        return HostMode.SERVES if is_settled else HostMode.AT_FIRST
+    return HostMode.STANDS_BY if is_settled else before
--- a/src/alderhatch/node/tier_news.py
+++ b/src/alderhatch/node/tier_updates.py
@@ -31,7 +31,7 @@
 NO_LIST = ServerList(0, {})
 
 
-class Duty(Enum):
+class HostMode(Enum):
     """What a host is needed for."""
 
     UNDECIDED = auto()
@@ -43,7 +43,7 @@
     STANDS_BY = auto()
 
 
-class Told(NamedTuple):
+class SentState(NamedTuple):
     """What one host was told last."""
 
     version: int = 0
@@ -56,17 +56,17 @@
     evacuations: Evacuations = NO_EVACUATIONS
 
 
-class News(NamedTuple):
+class HostUpdates(NamedTuple):
     """What one host has to be told now."""
 
     messages: list[bytes]
-    told: Told
+    told: SentState
     """What it was told last, once they are sent."""
     has_configuration: bool
     """Whether a configuration is among them."""
 
 
-class TierNews:
+class TierUpdates:
     """The newest of each kind, and its message for hosts that know an earlier one.
 
     Worked out for each host anew, a change among a thousand servers or hosts costs the leader's
@@ -89,7 +89,7 @@
         self._refused_message = b""
         self._standing_messages = {one: encode(Standing(one)) for one in (False, True)}
 
-    def take_servers(self, records: dict[str, ServerRecord]) -> bool:
+    def set_servers(self, records: dict[str, ServerRecord]) -> bool:
         """Take a newer list of servers; return whether anything changed."""
         if records == self._servers.records:
             return False
@@ -97,7 +97,7 @@
         self._differences = {}
         return True
 
-    def take_view(self, view: TierView) -> bool:
+    def set_view(self, view: TierView) -> bool:
         """Take who is there; return whether anything changed."""
         if view == self._view:
             return False
@@ -105,11 +105,11 @@
         self._view_message = self._encode(view)
         return True
 
-    def forget_view(self) -> None:
+    def clear_view(self) -> None:
         """Tell nobody who is there until that is taken again."""
         self._view = None
 
-    def take_refused(self, fingerprints: list[str]) -> bool:
+    def set_quarantined(self, fingerprints: list[str]) -> bool:
         """Take which requests are refused everywhere; return whether anything changed."""
         refused = tuple(fingerprints)
         if refused == self._refused:
@@ -118,7 +118,7 @@
         self._refused_message = self._encode(QuarantineNews(fingerprints))
         return True
 
-    def since(self, told: Told, orders: TierDirectives, duty: Duty) -> News:
+    def updates_since(self, told: SentState, orders: TierDirectives, duty: HostMode) -> HostUpdates:
         """Return what a host has to be told.
 
         Args:
@@ -135,10 +135,10 @@
         has_configuration = stored.version > told.version
         if has_configuration:
             messages.append(self._configuration_message(stored))
-        stands_by = duty is Duty.STANDS_BY
+        stands_by = duty is HostMode.STANDS_BY
         if stands_by != told.stands_by:
             messages.append(self._standing_messages[stands_by])
-        servers = self._servers if duty in (Duty.AT_FIRST, Duty.SERVES) else NO_LIST
+        servers = self._servers if duty in (HostMode.AT_FIRST, HostMode.SERVES) else NO_LIST
         if servers.number not in (told.servers.number, NO_LIST.number):
             messages.append(self._difference_from(told.servers))
         if self._view is not None and self._view is not told.view:
@@ -146,8 +146,8 @@
         if self._refused != told.refused:
             messages.append(self._refused_message)
         version = max(stored.version, told.version)
-        now = Told(version, servers, self._view, self._refused, stands_by, evacuations)
-        return News(messages, now, has_configuration)
+        now = SentState(version, servers, self._view, self._refused, stands_by, evacuations)
+        return HostUpdates(messages, now, has_configuration)
 
     def _configuration_message(self, stored: StoredConfiguration) -> bytes:
         version, message = self._configuration
--- a/src/alderhatch/node/voter_plan.py
+++ b/src/alderhatch/node/voter_plan.py
@@ -22,12 +22,12 @@
     disk: DiskRecord
 
 
-def wanted_voters(tolerated: int) -> int:
+def required_voters(tolerated: int) -> int:
     """Return how many voters survive the loss of so many hosts at once."""
     return min(MAX_VOTERS, max(3, 2 * tolerated + 1))
 
 
-def lost_after(catch_up: Millis) -> Millis:
+def voter_loss_timeout(catch_up: Millis) -> Millis:
     """Return how long a voter may be silent before a host that waits takes its vote.
 
     When a host has gone for good, its successor counts as able to replace it once it had its time
--- a/src/alderhatch/node/voter_keeper.py
+++ b/src/alderhatch/node/voter_reconciler.py
@@ -9,13 +9,13 @@
 from ..control.member_steps import Step, take_step
 from .control_member import ControlMember
 from .tier_server import TierServer
-from .voter_plan import lost_after, next_step, wanted_voters
+from .voter_plan import next_step, required_voters, voter_loss_timeout
 
 STEP_INTERVAL: Millis = 100.0
 RETRY_INTERVAL: Millis = 1 * SECOND
 
 
-class VoterKeeper:
+class VoterReconciler:
     """Takes one step at a time.
 
     Args:
@@ -30,8 +30,8 @@
     ) -> None:
         self._member = member
         self._server = server
-        self._wanted = wanted_voters(tolerated)
-        self._patience = lost_after(catch_up)
+        self._wanted = required_voters(tolerated)
+        self._patience = voter_loss_timeout(catch_up)
         self._clock = LoopClock()
         self._heard_at: dict[str, Millis] = {}
 
--- a/src/alderhatch/platform/edge.py
+++ b/src/alderhatch/platform/edge.py
@@ -74,7 +74,7 @@
     async def _put(self, req: HttpRequest) -> HttpResponse:
         cfg = decode_configuration(req.body)
         try:
-            in_force = await self._node.desk.put(cfg.version, req.body)
+            in_force = await self._node.configuration_service.put(cfg.version, req.body)
         except AlderhatchError as exc:
             return self._elsewhere(exc, req.path)
         return json_response(200, {VERSION: in_force})
@@ -91,7 +91,7 @@
             message = "body: the order takes none"
             return failure_response(Failure(ErrorKind.BAD_REQUEST, message, "body"))
         try:
-            evacuated = await self._node.desk.evacuate(zone, req.method == "POST")
+            evacuated = await self._node.configuration_service.evacuate(zone, req.method == "POST")
         except AlderhatchError as exc:
             return self._elsewhere(exc, req.path)
         left = sorted(zones - set(evacuated))
@@ -99,7 +99,7 @@
 
     async def _get(self) -> HttpResponse:
         try:
-            stored = await self._node.desk.read()
+            stored = await self._node.configuration_service.read()
         except AlderhatchError as exc:
             return self._elsewhere(exc, CONFIGURATION)
         if stored.version == 0:
