--- a/features/steps/tier_size_steps.py
+++ b/features/steps/tier_size_steps.py
@@ -88,7 +88,7 @@
             context.followers = tier.followers()
 
         with patch.object(CODEC, "encode", count):
-            context.tier.server._news._encode = count
+            context.tier.server._updates._encode = count
             context.tier.play(script)
         context.script = []
     return context.tier
--- a/src/alderhatch/node/boot_clock.py
+++ b/src/alderhatch/node/boot_clock.py
@@ -1,4 +1,4 @@
-"""A clock for trio's loop that also counts the time during which the machine was suspended."""
+"""A clock for trio that also counts the time for which the machine was suspended."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class BootClock(Clock):
-    """The loop's time by ``CLOCK_BOOTTIME``.
+    """A trio clock that reads ``CLOCK_BOOTTIME``.
 
-    The usual steady clock stands still while a machine is suspended. A leader that was suspended
-    for seconds would wake up and hold its lease to be valid, although another host was elected
-    meanwhile, and an operator would read an older configuration from it. With this clock the lease,
-    and every other timeout, has run out at the moment of waking.
+    The usual monotonic clock does not advance while a machine is suspended. A leader that was
+    suspended for seconds would resume with a lease that still looks valid, although another host
+    has been elected meanwhile, and an operator would read an outdated configuration from it. With
+    this clock the lease and all other timeouts have expired when the machine resumes.
     """
 
     def start_clock(self) -> None:
-        """Do nothing; the clock runs since the machine was booted."""
+        """Do nothing; the clock runs from boot."""
 
     def current_time(self) -> float:
         """Return the seconds since boot."""
--- a/src/alderhatch/node/control_member.py
+++ b/src/alderhatch/node/control_member.py
@@ -1,4 +1,4 @@
-"""This host's part in the replicated log, through failures of its disk."""
+"""This host's member of the replicated log, which survives failures of its disk."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from ..storage.files import DiskFiles
 from .tier_messages import DiskRecord, Place
 
-REOPEN_PAUSE: Millis = 1 * SECOND
-"""How long after a failure of the disk it is tried again."""
-CHECK_DISK: Millis = 200.0
+REOPEN_INTERVAL: Millis = 1 * SECOND
+"""How long after a disk failure the data folder is opened again."""
+DISK_CHECK_INTERVAL: Millis = 200.0
 RAFT = RaftConfig(
     heartbeat=80.0,
     election_timeout=400.0,
@@ -34,22 +34,23 @@
     compact_bytes=2 * 1024 * 1024,
     keep_entries=20,
 )
-"""Hosts are small and share their processor with the traffic: heartbeats are rare enough to cost
-little between zones, and five of them fit into an election timeout. Few entries are kept, as each
-is a whole configuration."""
+"""Hosts are small and share their processor with the requests, so heartbeats are rare enough to
+cost little between zones, yet five of them fit into an election timeout. Few entries are kept
+because each one holds a complete configuration."""
 LOG_CONFIG = LogNodeConfig(raft=RAFT, request_timeout=3500.0, sync_in_thread=True)
 
 
 class ControlMember:
-    """Opens the data folder, takes part in the log, and begins anew after the disk has failed.
+    """Opens the data folder, runs the log on it, and restarts both after a disk failure.
 
     Args:
         place: This host.
         folder: The data folder.
         secret: The secret that the hosts of the tier share.
-        state_machine: What the log drives.
-        on_role: Called when this host begins or ceases to lead, or another leader is known.
-        silent_since: When the process began, if the loop's clock can be compared with it.
+        state_machine: The state machine of the log.
+        on_role: Called when this host gains or loses leadership, or another leader is known.
+        silent_since: When the process started; None if the loop's clock can't be compared with
+            that time.
     """
 
     def __init__(
@@ -67,35 +68,35 @@
         self._state_machine = state_machine
         self._on_role = on_role
         self._clock = LoopClock()
-        self._founds = False
+        self._bootstraps = False
         self._silent_since = silent_since
-        self._restart = trio.CancelScope()
+        self._run_scope = trio.CancelScope()
         self._leaderless_since: Millis | None = None
-        self._leaderless: Millis = 0.0
+        self._leaderless_total: Millis = 0.0
         self.log: LogNode | None = None
-        """The replicated log while the disk works."""
+        """The replicated log; None while the disk fails."""
         self.disk: DiskRecord | None = None
-        """The identity of the data folder, once it could be opened."""
+        """The IDs stored in the data folder; None until it has been opened."""
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Run the log until cancelled."""
         self._leaderless_since = self._clock.now()
         while True:
-            with trio.CancelScope() as self._restart:
+            with trio.CancelScope() as self._run_scope:
                 try:
                     await self._run_once()
                 except (OSError, DataFolderError) as exc:
                     log_event(LogEvent.LOG_STORAGE_FAILED, why=str(exc))
             self.log = None
             self._on_role()
-            if not self._founds or self.disk is None:
-                await trio.sleep(REOPEN_PAUSE / SECOND)
+            if not self._bootstraps or self.disk is None:
+                await trio.sleep(REOPEN_INTERVAL / SECOND)
 
     async def _run_once(self) -> None:
         folder = await trio.to_thread.run_sync(self._open)
         self.disk = DiskRecord(folder.member_id, folder.cluster_id)
         founders: list[PeerAddress] = []
-        if self._founds and not folder.cluster_id:
+        if self._bootstraps and not folder.cluster_id:
             founders = [PeerAddress(*self._place)]
         log = LogNode(
             self._place.name,
@@ -107,7 +108,8 @@
             self._role_changed,
             silent_since=self._silent_since,
         )
-        # Opened again in the same process, this member has answered leaders since.
+        # After a restart of the log in this process, this no longer holds: the member has answered
+        # leaders in the meantime.
         self._silent_since = None
         async with trio.open_nursery() as nursery:
             await nursery.start(log.run)
@@ -115,7 +117,7 @@
             self._on_role()
             while log.status().storage_failure is None:
                 self.disk = DiskRecord(folder.member_id, folder.cluster_id)
-                await trio.sleep(CHECK_DISK / SECOND)
+                await trio.sleep(DISK_CHECK_INTERVAL / SECOND)
             nursery.cancel_scope.cancel()
 
     def _open(self) -> DataFolder:
@@ -126,26 +128,26 @@
         if leader is None:
             self._leaderless_since = self._leaderless_since or now
         elif self._leaderless_since is not None:
-            self._leaderless += now - self._leaderless_since
+            self._leaderless_total += now - self._leaderless_since
             self._leaderless_since = None
         self._on_role()
 
     @property
     def leaderless_time(self) -> Millis:
-        """For how long, all together, this host has known no leader of the log."""
+        """The total time for which this host has known no leader of the log."""
         since = self._leaderless_since
-        return self._leaderless + (self._clock.now() - since if since is not None else 0.0)
+        return self._leaderless_total + (self._clock.now() - since if since is not None else 0.0)
 
     def sync_figures(self) -> SyncFigures | None:
-        """Return how the journal was synced since it was opened; None while the disk fails."""
+        """Return the sync statistics since the journal was opened; None while the disk fails."""
         return self.log.sync_figures() if self.log is not None else None
 
     def bootstrap(self) -> None:
-        """Found the replicated log with this host as its first member."""
+        """Bootstrap the replicated log with this host as its first member."""
         if self.disk is not None and self.disk.cluster_id:
             return
-        self._founds = True
-        self._restart.cancel()
+        self._bootstraps = True
+        self._run_scope.cancel()
 
     @property
     def leads(self) -> bool:
@@ -153,7 +155,7 @@
         return self.log is not None and self.log.holds_lease()
 
     def status(self) -> LogStatus | None:
-        """Return what this host knows of the log; None while its disk fails."""
+        """Return the state of the log at this host; None while its disk fails."""
         return self.log.status() if self.log is not None else None
 
     def membership(self) -> Membership:
@@ -161,16 +163,16 @@
         return self.log.membership if self.log is not None else Membership()
 
     def leader(self) -> Place | None:
-        """Return where the leader is, if this host knows."""
+        """Return the address of the leader, or None if it is unknown."""
         status = self.status()
         if status is None or status.leader is None:
             return None
-        return next((one for one in self.controls() if one.name == status.leader), None)
+        return next((member for member in self.controls() if member.name == status.leader), None)
 
     def controls(self) -> list[Place]:
-        """Return the hosts of the replicated log as this host knows them."""
+        """Return the addresses of the members as this host knows them."""
         members = self.membership().members
-        return [Place(one.name, one.address, one.port) for one in members]
+        return [Place(member.name, member.address, member.port) for member in members]
 
     def leading_log(self) -> LogNode:
         """Return the log if this host leads it.
@@ -185,6 +187,6 @@
         return self.log
 
     async def serve_peer(self, link: Link) -> None:
-        """Answer another member over a link that it opened."""
+        """Serve another member over a link that it opened."""
         if self.log is not None:
             await self.log.serve_peer(link)
--- a/src/alderhatch/node/leader_search.py
+++ b/src/alderhatch/node/leader_search.py
@@ -1,4 +1,4 @@
-"""A host's search for the leader: whom it asks next, and how long it waits for each."""
+"""A host's search for the leader: which host to query next, and how long to wait for its answer."""
 
 from __future__ import annotations
 
@@ -11,97 +11,101 @@
 from .tier_messages import Place
 
 DIAL_TIMEOUT: Millis = 400.0
-"""Hosts are 3 ms away; one that needs longer is dark or busy, and others wait to be tried."""
+"""The latency between hosts is 3 ms; a host that needs longer than this is down or busy."""
 HINTED_DIAL_TIMEOUT: Millis = 1600.0
-"""For a host that another one names as the leader. When a leader is new, all hosts come to it at
-once; were each to give up and come again, it would never have answered them all."""
-MAX_SLOWNESS = 8.0
-"""By how much a host slows down its search at most while those that it asks don't answer."""
+"""For a host that another host named as the leader. All hosts connect to a new leader at once; if
+they gave up early and connected again, it would never answer them all."""
+MAX_BACKOFF_FACTOR = 8.0
+"""Limit of the factor by which a search slows down while the queried hosts don't answer."""
 
 
 class LeaderSearch:
-    """Whom a host asks for the leader, in which order and for how long.
+    """Decides which hosts to query for the leader, in which order and with which timeout.
 
-    It asks in rounds, a few hosts at the same time, until one answers that leads.
+    Hosts are queried in rounds, a few at the same time, until one answers that leads.
     """
 
     def __init__(self) -> None:
-        self.left: deque[Place] = deque()
-        """Who is to be asked in this round, the next one first."""
+        self.pending: deque[Place] = deque()
+        """The hosts still to be queried in this round, the next one first."""
         self.progress = trio.Event()
-        """Set when a host has answered, or can't."""
+        """Set when a query has ended, with or without an answer."""
         self.leader_found = False
-        """Whether a leader was found."""
+        """Whether a host that leads has answered."""
         self.backoff_factor = 1.0
-        """By how much this host asks less often than it would if all answered."""
-        self._asked: set[Place] = set()
-        self._unanswered = 0
-        self._hinted: set[Place] = set()
-        self._dialling: dict[Place, trio.CancelScope] = {}
+        """Factor by which timeouts and pauses are longer than if all hosts answered."""
+        self._queried: set[Place] = set()
+        self._unanswered_count = 0
+        self._hinted_places: set[Place] = set()
+        self._pending_dials: dict[Place, trio.CancelScope] = {}
 
     def begin_round(self, places: Iterable[Place]) -> None:
-        """Begin to ask these hosts, but for those whose answers are awaited still."""
-        self.left = deque(places)
-        self._asked = set(self._dialling)
-        self._unanswered = 0
+        """Start a round over these hosts, except those whose answers are still pending."""
+        self.pending = deque(places)
+        self._queried = set(self._pending_dials)
+        self._unanswered_count = 0
 
     def end_round(self) -> None:
-        """Slow down if most of those that were asked did not answer, else hurry again.
+        """Back off if most of the queried hosts did not answer, else return to full speed.
 
-        Hosts that are many and restarted together keep those whom they ask so busy that nobody is
-        answered in time; were they all to ask again at once, it would stay so.
+        When many hosts restart together, they keep the hosts that they query too busy to answer in
+        time. If all of them retried at once, this would not end.
         """
-        is_slow = 2 * self._unanswered > len(self._asked)
-        self.backoff_factor = min(MAX_SLOWNESS, 2 * self.backoff_factor) if is_slow else 1.0
+        is_slow = 2 * self._unanswered_count > len(self._queried)
+        self.backoff_factor = min(MAX_BACKOFF_FACTOR, 2 * self.backoff_factor) if is_slow else 1.0
 
     @property
     def is_round_over(self) -> bool:
-        """Whether a leader was found, or nobody is left who could name one soon."""
-        awaited = self._dialling.keys() - self._hinted
-        return self.leader_found or not (self.left or awaited)
+        """Whether a leader was found, or no host is left that could name one soon."""
+        awaited = self._pending_dials.keys() - self._hinted_places
+        return self.leader_found or not (self.pending or awaited)
 
     def add_hint(self, place: Place) -> None:
-        """Ask a host next that is said to lead, and wait longer for it."""
-        self.left.appendleft(place)
-        self._hinted.add(_bare(place))
+        """Query a host next that was named as the leader, with a longer timeout."""
+        self.pending.appendleft(place)
+        self._hinted_places.add(_without_name(place))
 
     def next_place(self) -> Place | None:
-        """Return who is to be asked next, or None if nobody is left."""
-        while self.left:
-            place = self.left.popleft()
-            if _bare(place) not in self._asked:
-                self._asked.add(_bare(place))
+        """Return the host to query next, or None if no host is left."""
+        while self.pending:
+            place = self.pending.popleft()
+            if _without_name(place) not in self._queried:
+                self._queried.add(_without_name(place))
                 return place
         return None
 
     def begin_attempt(self, place: Place) -> trio.CancelScope:
-        """Return what bounds the time for one host's answer."""
-        is_named = _bare(place) in self._hinted
-        timeout = HINTED_DIAL_TIMEOUT if is_named else DIAL_TIMEOUT * self.backoff_factor
+        """Return the cancel scope that limits the time for one host's answer."""
+        is_hinted = _without_name(place) in self._hinted_places
+        timeout = HINTED_DIAL_TIMEOUT if is_hinted else DIAL_TIMEOUT * self.backoff_factor
         scope = trio.CancelScope(deadline=trio.current_time() + timeout / SECOND)
-        self._dialling[_bare(place)] = scope
+        self._pending_dials[_without_name(place)] = scope
         return scope
 
     def select_leader(self, place: Place) -> bool:
-        """Leave all others for the host that has just answered; False if one was before it."""
+        """Choose the host that has just answered and cancel all other queries.
+
+        Returns:
+            False if another host was chosen before.
+        """
         if self.leader_found:
             return False
         self.leader_found = True
-        for other, scope in self._dialling.items():
-            if other != _bare(place):
+        for other, scope in self._pending_dials.items():
+            if other != _without_name(place):
                 scope.cancel()
-        self._dialling[_bare(place)].deadline = float("inf")
+        self._pending_dials[_without_name(place)].deadline = float("inf")
         self.progress.set()
         return True
 
     def end_attempt(self, place: Place) -> None:
-        """Take note that a host has answered, or that it can't be asked."""
-        scope = self._dialling.pop(_bare(place))
-        self._hinted.discard(_bare(place))
-        self._unanswered += scope.cancelled_caught
+        """Record that the query of a host has ended, with or without an answer."""
+        scope = self._pending_dials.pop(_without_name(place))
+        self._hinted_places.discard(_without_name(place))
+        self._unanswered_count += scope.cancelled_caught
         self.progress.set()
 
 
-def _bare(place: Place) -> Place:
-    """Return a place without its name: a seed of the settings has no other than its address."""
+def _without_name(place: Place) -> Place:
+    """Return a place without its name, as the seeds of the settings have no names."""
     return place._replace(name="")
--- a/src/alderhatch/node/node_settings.py
+++ b/src/alderhatch/node/node_settings.py
@@ -1,4 +1,4 @@
-"""What a node has to be told at its start."""
+"""The settings that a node is started with."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class NodePorts(NamedTuple):
-    """Where the node listens, on its own address."""
+    """The ports that the node listens on, at its own address."""
 
     callers: int
     addresses: int
-    """Where callers ask which addresses to use."""
+    """Where callers look up the addresses to use."""
     readiness: int
     operators: int
     links: int
@@ -34,30 +34,30 @@
     zone: str
     ports: NodePorts
     seeds: tuple[Place, ...]
-    """Hosts of the tier to begin with; they need not be members of the replicated log."""
+    """Hosts that are contacted first; they need not be members of the replicated log."""
     data_folder: Path | None
-    """None on a host without a disk, which takes no part in the replicated log."""
+    """None on a host without a disk, which is no member of the replicated log."""
     first_start: bool
     """Whether the whole tier starts for the first time."""
     tolerated_hosts: int
     """How many hosts with a disk may be lost at once."""
     catch_up: Millis
-    """How long a host that is new or back has to catch up before another one may be lost."""
+    """How long a new or returning host has to catch up before another one may be lost."""
     budget: BudgetLimits
     stop_span: Millis
-    """How long the node may take to stop."""
+    """Time limit for the node to stop."""
     secret: bytes
     zones: frozenset[str] = frozenset()
     """All availability zones of the tier."""
     cold: ColdServerLimits | None = None
-    """What all hosts together may send to a server that is cold; None for no limit."""
+    """Limit of what all hosts together may send to a cold server; None for no limit."""
     processor: float = 1.0
-    """Seconds of processor time that this host gets in a second."""
+    """Processor time available to this host, in seconds per second."""
     policy: Policy = Policy()
     process_started: Millis | None = None
-    """When the process began, on the loop's clock; None if they can't be compared."""
+    """When the process started, on the loop's clock; None if that is unknown."""
 
     @property
     def place(self) -> Place:
-        """Where other hosts of the tier reach this one."""
+        """The address that other hosts of the tier use for this one."""
         return Place(self.name, self.address, self.ports.links)
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -1,4 +1,4 @@
-"""What a node believes: its configuration, the servers, and the other hosts."""
+"""The state of a node: its configuration, the servers, and the other hosts."""
 
 from __future__ import annotations
 
@@ -30,29 +30,29 @@
 from ..signal import Signal
 from .tier_messages import CrashReport, Place, TierView
 
-MAX_CRASHES = 20
-"""Crashes in one report; a zone that is lost is no crash of requests."""
-HOSTS_MEMORY: Millis = 30 * SECOND
-"""Budgets and connections are divided by the most hosts seen within this time. A host that is cut
-off from the leader goes on using its share, and those that are left must not use it as well."""
+MAX_CRASH_REPORTS = 20
+"""Limit of crashes in one report. When a whole zone is lost, its requests did not crash it."""
+HOST_COUNT_RETENTION: Millis = 30 * SECOND
+"""Budgets and connections are divided by the highest number of hosts seen within this time. A host
+that is cut off from the leader goes on using its share, so the others must not use it as well."""
 
 Decoder = Callable[[bytes], TierConfiguration]
-"""Reads an operator's document; raises ``AlderhatchError`` if it is not valid."""
+"""Decodes an operator's configuration; raises ``AlderhatchError`` if it is invalid."""
 
 
 class NodeState:
-    """The one place where a node's beliefs change.
+    """Holds a node's state; all changes to it go through this class.
 
     Args:
         name: This host's name.
         zone: This host's availability zone.
-        decode: Reads configurations.
-        pool: Told which servers there are.
-        terms: The budget for extra requests.
-        policy: The numbers that the choice of servers is tuned by.
-        clock: The time.
-        rng: Decides between servers that are equally good.
-        cold: What cold servers may get; None for no limit.
+        decode: Decodes configurations.
+        pool: The connections to servers, kept in line with the server list.
+        budget_limits: The limits of the budget for additional requests.
+        policy: The parameters of server selection.
+        clock: The time source.
+        rng: Breaks ties between servers.
+        cold: The limits of cold servers; None for no limit.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         zone: str,
         decode: Decoder,
         pool: ConnectionPool,
-        terms: BudgetLimits,
+        budget_limits: BudgetLimits,
         policy: Policy,
         clock: Clock,
         rng: Random,
@@ -72,96 +72,102 @@
         self._decode = decode
         self._pool = pool
         self._clock = clock
-        self.table = TargetTable(zone, terms, policy, rng, cold)
+        self.table = TargetTable(zone, budget_limits, policy, rng, cold)
         self.crash_detector = CrashDetector(QUARANTINE_DURATION)
-        """What this host saw of requests that crash servers."""
+        """The crashes that this host observed."""
         self._quarantined_until: dict[str, Millis] = {}
-        """When the requests that the leader refuses everywhere may run again."""
+        """When the quarantine of each request ends, by fingerprint."""
         self.crashes: list[CrashReport] = []
-        """Crashes that the leader was not told of yet."""
-        self._told_crashes: list[tuple[Millis, CrashReport]] = []
-        """Crashes that it was told of, and when."""
+        """Crashes that are not yet reported to the leader."""
+        self._sent_crash_reports: list[tuple[Millis, CrashReport]] = []
+        """Crashes that were reported to the leader, with the times of the reports."""
         self.routes = RouteTable(())
         self.limits = CallerLimits()
         self.stored: StoredConfiguration = NO_CONFIGURATION
         self.evacuations = NO_EVACUATIONS
-        """The availability zones whose servers get nothing."""
+        """The availability zones whose servers get no requests."""
         self.configured = Signal()
         """Notified when a newer configuration is in use."""
         self.records: dict[str, ServerRecord] = {}
-        """All listed servers by their ids."""
+        """All listed servers by ID."""
         self.list_fresh_at: Millis | None = None
-        """When the list was last known to be fresh."""
+        """When the server list was last known to be fresh; None if never."""
         self.view: TierView | None = None
-        """The leader's last word of who is there."""
+        """The leader's last view of the hosts."""
         self.hosts: list[HostRecord] = []
-        """The live hosts that serve callers or may be next, by the leader's last word."""
+        """The live hosts that serve callers or are a reserve, from the leader's last view."""
         self.live_host_count = 0
-        """How many hosts there are in all."""
+        """The number of live hosts in the tier."""
         self.caller_hosts: list[HostRecord] = []
-        """Those of them that callers are sent to."""
+        """The active hosts, which callers are sent to."""
         self.processor_needed = 0.0
-        """How much processor time those should have together, in seconds a second."""
-        self._reach = HostReachability()
-        """What this host found out by itself since the leader's last word."""
+        """Processor time that the active hosts should have together, in seconds per second."""
+        self._reachability = HostReachability()
+        """Results of this host's probes since the leader's last view."""
         self.owners = ShardOwners(name, policy.split_parts)
-        """Which of those hosts owns a shard."""
-        self._named: dict[str, Millis] = {}
-        """When each host was last among those that callers are sent to."""
+        """Which of the active hosts owns a shard."""
+        self._active_at: dict[str, Millis] = {}
+        """When each host was last active, by name."""
         self.controls: list[Place] = []
-        """Hosts of the replicated log by the leader's last word."""
+        """Members of the replicated log, from the leader's last view."""
         self.started = trio.Event()
         """Set once the node knows its configuration and the servers."""
         self.stands_by = False
-        """Whether this host hands requests over, by the leader's word."""
+        """Whether this host is a standby host, as decided by the leader."""
         self.wants_servers = False
-        """Whether it needs the list of servers although it stands by."""
+        """Whether this host needs the server list although it is a standby host."""
         self._seen_version = 0
-        self._wanted: frozenset[str] = frozenset()
+        self._routed_upstreams: frozenset[str] = frozenset()
         self._host_counts: list[tuple[Millis, int]] = []
 
     # The configuration
 
     def apply_configuration(self, stored: StoredConfiguration) -> None:
-        """Serve by a configuration if it is newer than the present one."""
+        """Use a configuration if it is newer than the current one."""
         if stored.version <= self.stored.version:
             return
-        cfg = self._decode(stored.document)
+        configuration = self._decode(stored.document)
         self.stored = stored
-        self.routes = RouteTable(cfg.routes)
-        self.limits = cfg.limits
-        self.table.set_upstreams(cfg.upstreams)
-        self._wanted = frozenset(name for route in cfg.routes for name in route.upstreams)
-        gathers = (one.upstreams for one in cfg.routes if isinstance(one.destination, AllShards))
+        self.routes = RouteTable(configuration.routes)
+        self.limits = configuration.limits
+        self.table.set_upstreams(configuration.upstreams)
+        self._routed_upstreams = frozenset(
+            name for route in configuration.routes for name in route.upstreams
+        )
+        gathers = (
+            one.upstreams for one in configuration.routes if isinstance(one.destination, AllShards)
+        )
         if self.owners.set_gathers(gathers, self._clock.now()):
             self.table.set_owners(self.owners)
-        self.table.retain_routes({route.name for route in cfg.routes})
+        self.table.retain_routes({route.name for route in configuration.routes})
         self._choose_caller_hosts()
-        self._connect()
+        self._update_connections()
         self.configured.notify()
-        log_event(LogEvent.CONFIGURATION_ADOPTED, version=stored.version, routes=len(cfg.routes))
+        log_event(
+            LogEvent.CONFIGURATION_ADOPTED, version=stored.version, routes=len(configuration.routes)
+        )
 
     @property
     def has_split_gather(self) -> bool:
-        """Whether any route gathers so many parts that several hosts ask for them."""
+        """Whether any route gathers so many parts that the gather is split among hosts."""
         return self.owners.split_since is not None
 
     @property
     def seen_version(self) -> int:
-        """The newest configuration that was in use here, also at hosts that answered for this one.
+        """The newest version in use at this host, or at hosts that answered requests for it.
 
-        A caller that was served by it must never meet an older one here.
+        A caller that was served with this version must never get an older one from this host.
         """
         return max(self._seen_version, self.stored.version)
 
     def record_seen_version(self, version: int) -> None:
-        """Take the number of a configuration that another host served a caller of this one by."""
+        """Record the version that another host used to serve a caller of this host."""
         self._seen_version = max(self._seen_version, version)
 
     def apply_evacuations(self, evacuations: Evacuations) -> None:
-        """Send nothing more to servers of evacuated availability zones, and again to the others.
+        """Stop sending requests to evacuated availability zones, and resume for all others.
 
-        Nothing ever takes a host back to an earlier order.
+        Older evacuations than the current ones are ignored.
         """
         if evacuations.number <= self.evacuations.number:
             return
@@ -174,19 +180,19 @@
     # The servers
 
     def apply_servers(self, changed: Iterable[ServerRecord], gone: Iterable[str]) -> None:
-        """Take what changed in the list of servers."""
+        """Apply changes to the server list."""
         for server_id in gone:
             self.records.pop(server_id, None)
         for record in changed:
             self.records[record.server_id] = record
-        self._connect()
+        self._update_connections()
 
     def mark_list_fresh(self) -> None:
-        """Note that the list of servers is as new as can be."""
+        """Record that the server list is up to date now."""
         self.list_fresh_at = self._clock.now()
 
     def list_age(self) -> Millis:
-        """Return how long ago the list was known to be fresh."""
+        """Return how long ago the server list was last known to be fresh."""
         return (
             self._clock.now() - self.list_fresh_at
             if self.list_fresh_at is not None
@@ -199,68 +205,68 @@
         return self.started.is_set()
 
     def apply_standing(self, stands_by: bool) -> None:
-        """Take the leader's word of whether this host asks servers itself."""
+        """Apply the leader's decision whether this host is a standby host."""
         if stands_by == self.stands_by:
             return
         self.stands_by = stands_by
         self.wants_servers = False
         log_event(LogEvent.STANDING_CHANGED, stands_by=stands_by)
         if stands_by:
-            # A list that nobody brings up to date names servers that are leaving.
+            # Without updates the list would keep servers that are leaving.
             self.apply_servers((), list(self.records))
             self.list_fresh_at = None
 
     @property
     def hands_over(self) -> bool:
-        """Whether requests are handed over: this host stands by and knows no servers."""
+        """Whether requests are handed over: this is a standby host that knows no servers."""
         return self.stands_by and not self.records
 
     def request_server_list(self) -> None:
-        """Ask for the list of servers, as no host was found to hand a request over to."""
+        """Request the server list, as no host was found to hand a request over to."""
         self.wants_servers = True
 
     def _start_if_known(self) -> None:
-        others = any(host.name != self.name for host in self.caller_hosts)
-        if self.stored.version > 0 and (self.records or (self.stands_by and others)):
+        has_other_host = any(host.name != self.name for host in self.caller_hosts)
+        if self.stored.version > 0 and (self.records or (self.stands_by and has_other_host)):
             self.started.set()
 
-    def _connect(self) -> None:
+    def _update_connections(self) -> None:
         self._start_if_known()
         now = self._clock.now()
         self.table.update(self.records.values(), now)
-        # Connections are kept only to upstreams that a route names: an index that is being built
-        # has as many servers as the one in use, and each connection costs its server a moment.
-        for name in self._wanted:
+        # Connections are kept only to upstreams that a route names. An index that is being built
+        # has as many servers as the one in use, and each connection costs its server time.
+        for name in self._routed_upstreams:
             upstream = self.table.upstream(name)
-            held = set(self._pool.server_ids(name))
-            gone = held - upstream.targets.keys()
+            connected = set(self._pool.server_ids(name))
+            gone = connected - upstream.targets.keys()
             self._pool.adopt(name, [one.server for one in upstream.targets.values()], gone)
-        for name in self._pool.upstreams() - self._wanted:
+        for name in self._pool.upstreams() - self._routed_upstreams:
             self._pool.adopt(name, (), self._pool.server_ids(name))
-        self._share()
+        self._update_shares()
 
     # Requests that crash servers
 
     def record_attempt(
         self, fingerprint: str, target: Target, fault: AttemptFault | None, now: Millis
     ) -> None:
-        """Take what became of a request at a server."""
-        watch = self.crash_detector
+        """Record the outcome of a request to a server."""
+        detector = self.crash_detector
         match fault:
             case None | AttemptFault.FAILED:
-                watch.record_answer(fingerprint)
+                detector.record_answer(fingerprint)
             case AttemptFault.LOST:
-                watch.record_loss(fingerprint, target.upstream, target.server_id, now)
+                detector.record_loss(fingerprint, target.upstream, target.server_id, now)
             case AttemptFault.NOT_SENT:
-                # It takes no connection any more, so what it lost shortly before was a crash.
-                for crash in watch.confirm_crashes(target.server_id, now)[:MAX_CRASHES]:
+                # The server refuses connections, so the losses shortly before were a crash.
+                for crash in detector.confirm_crashes(target.server_id, now)[:MAX_CRASH_REPORTS]:
                     self.crashes.append(CrashReport(crash.fingerprint, crash.server_id))
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request is known to crash servers.
 
-        Two lost connections alone prove nothing: servers lose answers, too. Only a server that
-        takes no connection after that makes a loss a crash.
+        Two lost connections alone are no proof, as servers may also lose answers. A loss counts as
+        a crash only if the server refuses connections after it.
         """
         now = self._clock.now()
         if self._quarantined_until.get(fingerprint, 0.0) > now:
@@ -268,107 +274,116 @@
         return self.crash_detector.is_quarantined(fingerprint, now)
 
     def apply_quarantine(self, fingerprints: Iterable[str]) -> None:
-        """Take the leader's word of which requests are refused everywhere.
+        """Apply the leader's list of quarantined requests.
 
-        Each is refused for as long as callers are told, also if no leader says that it is over.
+        Each quarantine ends after ``QUARANTINE_DURATION``, the time that callers are given, even if
+        no leader ends it.
         """
         until = self._clock.now() + QUARANTINE_DURATION
         known = self._quarantined_until
         self._quarantined_until = {one: known.get(one, until) for one in fingerprints}
 
     def take_crash_reports(self) -> list[CrashReport]:
-        """Return the crashes to be reported, once."""
-        crashes = self.crashes[:MAX_CRASHES]
+        """Return the crashes to report; each crash is returned once."""
+        crashes = self.crashes[:MAX_CRASH_REPORTS]
         self.crashes = []
         now = self._clock.now()
-        told = [one for one in self._told_crashes if now - one[0] < CRASH_RETENTION]
-        self._told_crashes = [*told, *((now, crash) for crash in crashes)]
+        told = [one for one in self._sent_crash_reports if now - one[0] < CRASH_RETENTION]
+        self._sent_crash_reports = [*told, *((now, crash) for crash in crashes)]
         return crashes
 
     def on_new_leader(self) -> None:
-        """Tell a leader that is new to this host what the last one was told.
+        """Queue the recently reported crashes again for a new leader.
 
-        Leaders keep what is reported in memory. A body that has crashed one server would be allowed
-        two more with each change of the leader.
+        Leaders keep crash reports in memory only. Without this, a body that has crashed one server
+        could crash two more after each change of leader.
         """
         now = self._clock.now()
-        recent = [crash for at, crash in self._told_crashes if now - at < CRASH_RETENTION]
-        self._told_crashes = []
+        recent = [crash for at, crash in self._sent_crash_reports if now - at < CRASH_RETENTION]
+        self._sent_crash_reports = []
         self.crashes = [*recent, *self.crashes]
 
     # The hosts
 
     def apply_view(self, view: TierView) -> None:
-        """Take the leader's word of who is there."""
-        # Those of the last view were there until now, however long ago that came.
-        alive = max(len(view.hosts), view.alive)
-        most = max(self.live_host_count, alive)
-        self.live_host_count = alive
+        """Apply the leader's view of the hosts."""
+        # The hosts of the last view count as live until now, however old that view is.
+        live_hosts = max(len(view.hosts), view.alive)
+        max_hosts = max(self.live_host_count, live_hosts)
+        self.live_host_count = live_hosts
         self.view = view
-        self._reach = HostReachability()
+        self._reachability = HostReachability()
         self.hosts = view.hosts
         self.controls = view.controls
         self.processor_needed = view.processor_needed
         now = self._clock.now()
-        counts = [(at, count) for at, count in self._host_counts if now - at < HOSTS_MEMORY]
-        self._host_counts = [*counts, (now, most)]
+        counts = [(at, count) for at, count in self._host_counts if now - at < HOST_COUNT_RETENTION]
+        self._host_counts = [*counts, (now, max_hosts)]
         self._choose_caller_hosts()
         self._start_if_known()
-        self._share()
+        self._update_shares()
 
     @property
     def unreachable_hosts(self) -> frozenset[str]:
-        """The names of hosts that were not reached since the leader's last word."""
-        return self._reach.unreachable
+        """The names of hosts whose probes have failed since the leader's last view."""
+        return self._reachability.unreachable
 
     def hosts_to_probe(self) -> list[HostRecord]:
-        """Return the other hosts of which it should be known whether they can be reached."""
-        named = self.choose(self._reach.reachable(self.hosts), self.processor_needed)
-        lost = [host for host in self.hosts if host.name in self._reach.unreachable]
-        return [host for host in (*named, *lost) if host.name != self.name]
+        """Return the other hosts to probe: the active ones and those that were unreachable."""
+        active = self.choose(self._reachability.reachable(self.hosts), self.processor_needed)
+        lost = [host for host in self.hosts if host.name in self._reachability.unreachable]
+        return [host for host in (*active, *lost) if host.name != self.name]
 
     def record_host_probes(self, reached: Mapping[str, bool]) -> None:
-        """Take which of those hosts were reached, by name."""
-        self._reach.record_probes(reached)
+        """Record which hosts were reached by the probes, by name."""
+        self._reachability.record_probes(reached)
         self._choose_caller_hosts()
-        self._share()
+        self._update_shares()
 
     def choose(self, hosts: Iterable[HostRecord], processor_needed: float) -> list[HostRecord]:
-        """Return those of the hosts that callers are sent to.
+        """Return the active hosts.
 
         Args:
-            hosts: The hosts that are there.
-            processor_needed: How much processor time the chosen ones should have together.
+            hosts: The live hosts.
+            processor_needed: Processor time that the active hosts should have together.
         """
         return choose_caller_hosts(hosts, self.table.usable_connections(), processor_needed)
 
     def _choose_caller_hosts(self) -> None:
         now = self._clock.now()
         before = self.caller_hosts
-        self.caller_hosts = self.choose(self._reach.eligible(self.hosts), self.processor_needed)
+        self.caller_hosts = self.choose(
+            self._reachability.eligible(self.hosts), self.processor_needed
+        )
         if self.owners.set_hosts(self.caller_hosts, now):
             self.table.set_owners(self.owners)
         for host in (*before, *self.caller_hosts):
-            self._named[host.name] = now
-        self._named = {name: at for name, at in self._named.items() if now - at < HOSTS_MEMORY}
+            self._active_at[host.name] = now
+        self._active_at = {
+            name: at for name, at in self._active_at.items() if now - at < HOST_COUNT_RETENTION
+        }
 
-    def _keeps_warm(self, upstream: str) -> bool:
-        """Return whether connections to an upstream are opened before there is a request.
+    def _keeps_connections_warm(self, upstream: str) -> bool:
+        """Return whether connections to an upstream are opened ahead of requests.
 
-        What another host owns is asked for here only if that host is lost.
+        Shards owned by another host are queried here only if that host is lost.
         """
         owners = self.owners
         return not owners.is_split(upstream) or owners.owner(upstream) == self.name
 
-    def _share(self) -> None:
-        most = max((count for _, count in self._host_counts), default=1)
-        is_named = self.name in self._named
-        # A host that stands by makes do with one connection to a server, opened when it is needed.
-        part = constant_fraction(most, len(self._named), is_named)
+    def _update_shares(self) -> None:
+        max_hosts = max((count for _, count in self._host_counts), default=1)
+        was_active = self.name in self._active_at
+        # A standby host uses at most one connection to each server, opened on demand.
+        fraction = constant_fraction(max_hosts, len(self._active_at), was_active)
         owned = {
-            one: owner_constant_fraction(most, len(self._named), is_named, one)
+            one: owner_constant_fraction(max_hosts, len(self._active_at), was_active, one)
             for one in (False, True)
         }
-        self.table.set_host_share(part, len(self._named) if is_named else most, owned)
-        self._pool.keeps_warm = self._keeps_warm if is_named else lambda upstream: False
+        self.table.set_host_share(
+            fraction, len(self._active_at) if was_active else max_hosts, owned
+        )
+        self._pool.keeps_warm = (
+            self._keeps_connections_warm if was_active else lambda upstream: False
+        )
         self._pool.set_shares(self.table.connection_shares())
--- a/src/alderhatch/node/state_checkpoint.py
+++ b/src/alderhatch/node/state_checkpoint.py
@@ -1,4 +1,4 @@
-"""What a host with a disk keeps of its beliefs, to serve by them right after a restart."""
+"""Checkpoints of a node's state, from which a host serves right after a restart."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from .tier_messages import ConfigurationNews, TierView
 
 CHECKPOINT_NAME = "beliefs"
-WRITTEN_NAME = "beliefs.new"
-KEEP_EVERY: Millis = 300.0
-"""How soon a change is on the disk; of several that follow closely only the newest is written."""
+TEMPORARY_NAME = "beliefs.new"
+CHECKPOINT_INTERVAL: Millis = 300.0
+"""How often the state is checked for changes; of several changes only the newest is written."""
 
 RESTORE_TIMEOUT: Millis = 200.0
-"""How long a start waits for the disk; a sound one answers within some milliseconds."""
+"""How long a start waits for the disk; a healthy disk answers within a few milliseconds."""
 
 
 class KeptState(NamedTuple):
-    """The beliefs of a host that it can serve by without a leader."""
+    """The state that a host needs to serve requests without a leader."""
 
     configuration: ConfigurationNews
-    """It was in force, so it is committed; the replicated log may have a newer one."""
+    """A committed configuration that was in force; the replicated log may have a newer one."""
     view: TierView
-    """The other hosts: budgets and connections are divided by their number."""
+    """The other hosts; budgets and connections are divided by their number."""
     evacuations: Evacuations = NO_EVACUATIONS
 
 
@@ -42,17 +42,18 @@
 
 
 class CheckpointStore:
-    """Writes a node's beliefs beside its replicated log, and reads them after a start.
+    """Writes a node's state to its data folder, and restores it after a start.
 
-    After a restart of all hosts the log first has to elect a leader, and each host to find it.
-    Until then nobody would know a configuration, and every request would be refused for half a
-    second and more although all hosts and servers are there. What was in force before is good
-    enough meanwhile: changes and reads of the configuration still wait for the leader.
+    After a restart of all hosts the log has to elect a leader, and each host has to find it.
+    Without a checkpoint no host would know a configuration until then, and every request would be
+    refused for half a second or more although all hosts and servers are up. The configuration that
+    was in force before is good enough in the meantime; changes and reads of the configuration still
+    wait for the leader.
 
     Args:
         folder: The host's data folder.
-        state: The beliefs.
-        read: Reads what is kept in a folder; None if there is nothing.
+        state: The node's state.
+        read: Reads the checkpoint in a folder; returns None if there is none.
     """
 
     def __init__(
@@ -64,64 +65,66 @@
         self._folder = folder
         self._state = state
         self._read = read or _read
-        self._kept: KeptState | None = None
-        self._works = True
+        self._checkpoint: KeptState | None = None
+        self._is_writable = True
 
     async def restore(self) -> None:
-        """Take the beliefs of the last run, if there are any."""
-        kept: KeptState | None = None
+        """Apply the checkpoint of the last run, if there is one."""
+        checkpoint: KeptState | None = None
         try:
-            # A disk may hang for seconds. The host opens its ports without it rather than later.
+            # A disk may hang for seconds. The host opens its ports without the checkpoint rather
+            # than wait for it.
             with trio.fail_after(RESTORE_TIMEOUT / SECOND):
-                kept = await trio.to_thread.run_sync(
+                checkpoint = await trio.to_thread.run_sync(
                     self._read, self._folder, abandon_on_cancel=True
                 )
         except trio.TooSlowError:
             log_event(LogEvent.BELIEFS_NOT_KEPT, why="the disk did not answer in time")
         except (OSError, AlderhatchError) as exc:
             log_event(LogEvent.BELIEFS_NOT_KEPT, why=str(exc))
-        if kept is None:
+        if checkpoint is None:
             return
-        self._kept = kept
-        self._state.apply_evacuations(kept.evacuations)
-        self._state.apply_configuration(StoredConfiguration(*kept.configuration))
-        # Some may not have served just when the view was kept, this one among them. Left out, they
-        # would be named to no caller until there is a leader.
-        hosts = [host._replace(serving=True) for host in kept.view.hosts]
-        self._state.apply_view(kept.view._replace(hosts=hosts))
+        self._checkpoint = checkpoint
+        self._state.apply_evacuations(checkpoint.evacuations)
+        self._state.apply_configuration(StoredConfiguration(*checkpoint.configuration))
+        # Some hosts, among them this one, may not have been serving when the checkpoint was
+        # written. If they stayed excluded, they would not be advertised to callers until there is a
+        # leader.
+        hosts = [host._replace(serving=True) for host in checkpoint.view.hosts]
+        self._state.apply_view(checkpoint.view._replace(hosts=hosts))
 
     async def run(self) -> None:
-        """Keep the beliefs as they change, until cancelled."""
+        """Write a checkpoint whenever the state has changed, until cancelled."""
         while True:
-            await trio.sleep(KEEP_EVERY / SECOND)
+            await trio.sleep(CHECKPOINT_INTERVAL / SECOND)
             state = self._state
             if state.stored.version == 0 or state.view is None:
                 continue
-            now = KeptState(ConfigurationNews(*state.stored), state.view, state.evacuations)
-            if now == self._kept:
+            current = KeptState(ConfigurationNews(*state.stored), state.view, state.evacuations)
+            if current == self._checkpoint:
                 continue
-            await self._keep(now)
+            await self._save(current)
 
-    async def _keep(self, beliefs: KeptState) -> None:
+    async def _save(self, new_state: KeptState) -> None:
         try:
-            await trio.to_thread.run_sync(_write, self._folder, beliefs, abandon_on_cancel=True)
+            await trio.to_thread.run_sync(_write, self._folder, new_state, abandon_on_cancel=True)
         except OSError as exc:
-            # The log's own files tell of a disk that fails; one line here for each time it begins.
-            if self._works:
+            # The replicated log reports disk failures too, so only the first of a series is logged.
+            if self._is_writable:
                 log_event(LogEvent.BELIEFS_NOT_KEPT, why=str(exc))
-            self._works = False
+            self._is_writable = False
             return
-        self._works = True
-        self._kept = beliefs
+        self._is_writable = True
+        self._checkpoint = new_state
 
 
 def _read(folder: Path) -> KeptState | None:
     files = DiskFiles(folder)
     if CHECKPOINT_NAME not in files.names():
         return None
-    kept: KeptState = CODEC.decode(files.read(CHECKPOINT_NAME))
-    return kept
+    checkpoint: KeptState = CODEC.decode(files.read(CHECKPOINT_NAME))
+    return checkpoint
 
 
-def _write(folder: Path, beliefs: KeptState) -> None:
-    write_whole(DiskFiles(folder), CHECKPOINT_NAME, WRITTEN_NAME, CODEC.encode(beliefs))
+def _write(folder: Path, new_state: KeptState) -> None:
+    write_whole(DiskFiles(folder), CHECKPOINT_NAME, TEMPORARY_NAME, CODEC.encode(new_state))
--- a/src/alderhatch/node/tier_client.py
+++ b/src/alderhatch/node/tier_client.py
@@ -1,4 +1,4 @@
-"""A host's side of the link to the leader: what is in force, the servers, and who is there."""
+"""A host's side of the link to the leader, which sends configuration, servers and hosts."""
 
 from __future__ import annotations
 
@@ -32,27 +32,29 @@
 )
 from .tier_server import HOST_ROLE
 
-REPORT_EVERY: Millis = 500.0
+REPORT_INTERVAL: Millis = 500.0
 LEADER_SILENCE_TIMEOUT: Millis = 1600.0
-"""A leader that says nothing for three pulses is gone, or the way to it is."""
-STAGGER: Millis = 60.0
-"""How long a host is awaited before the next one is asked as well; a link takes some 10 ms."""
+"""A leader that sends nothing for three pulses is lost or unreachable."""
+DIAL_STAGGER: Millis = 60.0
+"""How long to wait for a host's answer before the next host is queried as well; opening a link
+takes some 10 ms."""
 REDIAL_INTERVAL: Millis = 120.0
-MAX_REMEMBERED = 32
-"""Places of hosts met before that are tried when neither seeds nor the log's hosts answer."""
+MAX_REMEMBERED_PLACES = 32
+"""Places from redirects that are queried after the members of the log and the seeds."""
 
 
 class TierClient:
     """Finds the leader and follows it for as long as it leads.
 
     Args:
-        join: Makes this host's first message.
-        report: Makes what this host says of itself.
-        places: Returns where to look for the leader: hosts of the log, then seeds.
-        state: Takes what the leader says.
-        codec: The tier's messages.
+        join: Returns this host's first message.
+        report: Returns this host's periodic report.
+        places: Returns the hosts to query for the leader: members of the log, then seeds.
+        state: Updated with what the leader sends.
+        codec: The codec of the tier's messages.
         secret: The secret that the hosts share.
-        rng: Spreads the rounds of hosts that look at the same time; a fresh one if none is given.
+        rng: Adds jitter to the rounds of hosts that search at the same time; a new generator if
+            None.
     """
 
     def __init__(
@@ -67,73 +69,73 @@
     ) -> None:
         self._join = join
         self._report = report
-        self._known = places
+        self._places = places
         self._state = state
         self._codec = codec
         self._secret = secret
         self._rng = rng or Random()
         self._clock = LoopClock()
-        self._hint: Place | None = None
-        self._met: list[Place] = []
+        self._leader_hint: Place | None = None
+        self._redirect_places: list[Place] = []
         self.leader: Place | None = None
-        """The leader that this host follows now."""
+        """The leader that this host follows now; None while it searches."""
         self.last_heard_at: Millis = 0.0
-        """When the leader was last heard."""
-        self._introduced = Signal()
+        """When the leader's last message arrived; 0 if none has."""
+        self._hint_added = Signal()
         self.report_changed = Signal()
-        """To be notified when the report has changed and should go out at once."""
+        """Notify it when the report has changed and should be sent at once."""
 
     async def run(self) -> None:
-        """Follow whoever leads until cancelled."""
+        """Find and follow leaders until cancelled."""
         while True:
-            await self._look()
-            await self._introduced.wait_for(REDIAL_INTERVAL)
+            await self._search()
+            await self._hint_added.wait_for(REDIAL_INTERVAL)
 
-    async def _look(self) -> None:
-        """Ask hosts for the leader in rounds, and follow it while it leads."""
+    async def _search(self) -> None:
+        """Query hosts for the leader in rounds, and follow it while it leads."""
         search = LeaderSearch()
         async with trio.open_nursery() as nursery:
             while not search.leader_found:
-                await self._ask_round(search, nursery)
+                await self._query_round(search, nursery)
                 if not search.leader_found:
                     spread = 1.0 + self._rng.random() * (search.backoff_factor - 1.0)
-                    await self._introduced.wait_for(REDIAL_INTERVAL * spread)
+                    await self._hint_added.wait_for(REDIAL_INTERVAL * spread)
 
-    async def _ask_round(self, search: LeaderSearch, nursery: trio.Nursery) -> None:
-        """Ask each known host once.
+    async def _query_round(self, search: LeaderSearch, nursery: trio.Nursery) -> None:
+        """Query each known host once.
 
-        Where a host says that another one leads, that one is next. Each is asked once in a round:
-        a host that is cut off from the others may go on naming itself, or one that is gone, and
-        whoever believed it each time would never ask those that know better.
+        If a host names another one as the leader, that one is queried next. Each host is queried
+        once per round: an isolated host may keep naming itself or a lost host as the leader, and
+        following it each time would keep this host from querying those that know the leader.
 
-        A host that is dark or still starting answers nothing, and takes all the time that it is
-        given. So the next one is asked while it is awaited; asked one after the other, two such
-        hosts kept a host without a configuration for most of a second after a restart of all.
+        A host that is down or still starting does not answer and uses up its whole timeout. So the
+        next host is queried while the answer is pending. With strictly sequential queries, two such
+        hosts left a host without a configuration for most of a second after a restart of all hosts.
         """
-        search.begin_round([*self._state.controls, *self._known(), *self._met])
-        self._take_hint(search)
+        search.begin_round([*self._state.controls, *self._places(), *self._redirect_places])
+        self._move_hint(search)
         while not search.is_round_over:
             place = search.next_place()
             if place is not None:
-                nursery.start_soon(self._try, place, search)
-            with trio.move_on_after(STAGGER * search.backoff_factor / SECOND):
+                nursery.start_soon(self._query, place, search)
+            with trio.move_on_after(DIAL_STAGGER * search.backoff_factor / SECOND):
                 await search.progress.wait()
             search.progress = trio.Event()
-            self._take_hint(search)
+            self._move_hint(search)
         search.end_round()
 
-    def _take_hint(self, search: LeaderSearch) -> None:
-        if self._hint is not None and not search.leader_found:
-            search.add_hint(self._hint)
-            self._hint = None
+    def _move_hint(self, search: LeaderSearch) -> None:
+        if self._leader_hint is not None and not search.leader_found:
+            search.add_hint(self._leader_hint)
+            self._leader_hint = None
 
     def add_leader_hint(self, leader: Place) -> None:
-        """Take a leader's word that it leads."""
-        self._hint = leader
-        self._introduced.notify()
+        """Query a host next that is believed to lead."""
+        self._leader_hint = leader
+        self._hint_added.notify()
 
-    async def _try(self, place: Place, search: LeaderSearch) -> None:
-        """Ask a host, and follow it if it leads and is the first that does."""
+    async def _query(self, place: Place, search: LeaderSearch) -> None:
+        """Query a host, and follow it if it is the first one to answer as the leader."""
         peer = Peer(self._join().place.name, HOST_ROLE)
         follows = False
         try:
@@ -144,10 +146,10 @@
                     await link.send(self._join())
                     first = await link.receive()
                     if isinstance(first, KeptNews):
-                        self._take_kept(first)
+                        self._apply_kept(first)
                         first = await link.receive()
                     if isinstance(first, Redirect):
-                        self._redirected(first)
+                        self._apply_redirect(first)
                         return
                     follows = search.select_leader(place)
                     if follows:
@@ -160,32 +162,32 @@
                 log_event(LogEvent.LEADER_LOST, leader=place.name, address=place.address)
                 self.leader = None
 
-    def _take_kept(self, kept: KeptNews) -> None:
+    def _apply_kept(self, kept: KeptNews) -> None:
         if self._state.is_started:
             return
         self._state.apply_evacuations(kept.evacuations)
         self._state.apply_configuration(StoredConfiguration(*kept.configuration))
         if self._state.view is None:
             self._state.apply_view(kept.view)
-        # Without a leader nobody tells this host so. As it needs no servers for it, its callers are
-        # served at once.
+        # Without a leader no host sends a Standing message. A standby host needs no servers, so it
+        # can serve its callers at once.
         self._state.apply_standing(not kept.view.is_active_host(self._state.name))
         if not self._state.records:
             self._state.apply_servers(kept.servers, [])
 
-    def _redirected(self, redirect: Redirect) -> None:
-        known = {(one.address, one.port) for one in self._met}
+    def _apply_redirect(self, redirect: Redirect) -> None:
+        known = {(one.address, one.port) for one in self._redirect_places}
         fresh = [one for one in redirect.others if (one.address, one.port) not in known]
-        self._met = [*fresh, *self._met][:MAX_REMEMBERED]
-        self._hint = redirect.leader
+        self._redirect_places = [*fresh, *self._redirect_places][:MAX_REMEMBERED_PLACES]
+        self._leader_hint = redirect.leader
 
     async def _follow(self, place: Place, link: Link, first: object) -> None:
         self.leader = place
         self._state.on_new_leader()
         log_event(LogEvent.LEADER_FOUND, leader=place.name, address=place.address)
-        self._take(first)
+        self._apply(first)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_reporting, link, nursery.cancel_scope)
+            nursery.start_soon(self._send_reports, link, nursery.cancel_scope)
             while True:
                 message: object = None
                 with trio.move_on_after(LEADER_SILENCE_TIMEOUT / SECOND):
@@ -195,18 +197,18 @@
                         break
                 if message is None:
                     break
-                self._take(message)
+                self._apply(message)
             nursery.cancel_scope.cancel()
 
-    async def _keep_reporting(self, link: Link, scope: trio.CancelScope) -> None:
+    async def _send_reports(self, link: Link, scope: trio.CancelScope) -> None:
         try:
             while True:
                 await link.send(self._report())
-                await self.report_changed.wait_for(REPORT_EVERY)
+                await self.report_changed.wait_for(REPORT_INTERVAL)
         except LinkClosedError:
             scope.cancel()
 
-    def _take(self, message: object) -> None:
+    def _apply(self, message: object) -> None:
         self.last_heard_at = self._clock.now()
         match message:
             case ConfigurationNews(version, packed):
--- a/src/alderhatch/node/tier_messages.py
+++ b/src/alderhatch/node/tier_messages.py
@@ -1,4 +1,4 @@
-"""What the hosts of one tier say to each other beside the replicated log's messages."""
+"""Messages between the hosts of a tier, apart from those of the replicated log."""
 
 from __future__ import annotations
 
@@ -22,58 +22,58 @@
     """The data folder of a host that has one."""
 
     member_id: str
-    """The identity of the folder; another one after its disk was lost."""
+    """The member ID of the folder; a new one after the disk was lost."""
     cluster_id: str
-    """The cluster that it belongs to; empty if none yet."""
+    """The cluster that the folder belongs to; empty if none yet."""
 
 
 class Join(NamedTuple):
-    """A host's first message to whom it takes for the leader."""
+    """A host's first message to the host that it believes to lead."""
 
     place: Place
     zone: str
     caller_address: str
     """Address and port that callers connect to."""
     processor: float
-    """Seconds of processor time that it gets in a second."""
+    """Processor time available to the host, in seconds per second."""
     disk: DiskRecord | None
     started: bool
-    """Whether it knows a configuration and the servers."""
+    """Whether the host knows a configuration and the servers."""
 
 
 class Introduction(NamedTuple):
-    """The leader's word to a host that does not follow it yet."""
+    """The leader's announcement to a host that does not follow it yet."""
 
     leader: Place
 
 
 class CrashReport(NamedTuple):
-    """A request that was running on a server when that crashed."""
+    """A request that was running on a server when the server crashed."""
 
     fingerprint: str
     server_id: str
 
 
 class QuarantineNews(NamedTuple):
-    """All requests that no host sends to any server for now."""
+    """The fingerprints of all requests that are quarantined now."""
 
     fingerprints: list[str]
 
 
 class Report(NamedTuple):
-    """What a host says of itself, again and again."""
+    """A host's periodic report to the leader."""
 
     serving: bool
-    """Whether callers may be sent to it."""
+    """Whether callers may be sent to the host."""
     configuration: int
-    """The number of the configuration that it serves by."""
+    """The version of the configuration that the host uses."""
     disk: DiskRecord | None
     crashes: list[CrashReport]
     """Crashes seen since the last report."""
     sends: int
     """Requests sent to servers since the last report."""
     wants_servers: bool = False
-    """Whether it needs the list of servers, as it found no host to hand requests over to."""
+    """Whether the host needs the server list, as it found no host to hand requests over to."""
 
 
 class Redirect(NamedTuple):
@@ -82,24 +82,23 @@
     leader: Place | None
     """The leader, if one is known."""
     others: list[Place]
-    """Hosts of the replicated log, any of which may know more."""
+    """Members of the replicated log, any of which may know the leader."""
 
 
 class TierView(NamedTuple):
-    """Who is there."""
+    """The hosts of the tier, as the leader sees them."""
 
     hosts: list[HostRecord]
-    """Those that callers are sent to, and the next ones, also those that don't serve yet."""
+    """The active hosts and a reserve, including hosts that don't serve yet."""
     controls: list[Place]
-    """The hosts of the replicated log."""
+    """The members of the replicated log."""
     processor_needed: float
-    """How much processor time the hosts that get requests should have together, in seconds a
-    second."""
+    """Processor time that the active hosts should have together, in seconds per second."""
     alive: int = 0
-    """How many hosts are there in all, rounded up; never fewer than are named."""
+    """The number of live hosts, rounded up; never less than the number of ``hosts``."""
 
     def is_active_host(self, name: str) -> bool:
-        """Return whether a host is one of those that ask servers: it is named, or all are."""
+        """Return whether a host queries servers: it is in the view, or the tier is small."""
         is_small = self.alive <= max(MIN_ADVERTISED_HOSTS, len(self.hosts))
         return is_small or any(host.name == name for host in self.hosts)
 
@@ -113,55 +112,55 @@
 
 
 class EvacuationNews(NamedTuple):
-    """The availability zones whose servers get nothing."""
+    """The availability zones whose servers get no requests."""
 
     evacuations: Evacuations
 
 
 class KeptNews(NamedTuple):
-    """What a host without a leader serves by, for one that knows nothing yet."""
+    """The state of a host without a leader, sent to a host that has none yet."""
 
     configuration: ConfigurationNews
-    """It was in force; there may be a newer one."""
+    """A configuration that was in force; there may be a newer one."""
     view: TierView
     servers: list[ServerRecord]
-    """The list as it read it a moment ago; empty if it did not."""
+    """The server list if the sender's is fresh, else empty."""
     evacuations: Evacuations = NO_EVACUATIONS
 
 
 class ServerNews(NamedTuple):
-    """What changed in the list of servers since the last such message over this link."""
+    """What changed in the server list since the last such message over this link."""
 
     complete: bool
-    """Whether this is the whole list, as it is in the first such message."""
+    """Whether this is the complete list, as in the first such message."""
     changed: list[ServerRecord]
     """Servers that are new or different."""
     gone: list[str]
-    """The ids of servers that are listed no more."""
+    """The IDs of servers that are no longer listed."""
 
 
 class Standing(NamedTuple):
-    """What the leader wants of a host."""
+    """Whether a host is active or standby, as decided by the leader."""
 
     stands_by: bool
-    """Whether it hands requests over and needs no list of servers."""
+    """Whether the host hands requests over and needs no server list."""
 
 
 class Pulse(NamedTuple):
-    """The leader is alive and its list of servers is fresh enough."""
+    """Keep-alive of the leader."""
 
     list_is_fresh: bool
 
 
 class FoundingBid(NamedTuple):
-    """A host with an empty disk is ready for the founding of the replicated log."""
+    """A host's offer to bootstrap the replicated log."""
 
     place: Place
     cluster_id: str
 
 
 class FoundingVerdict(NamedTuple):
-    """Which host founds it; none if it exists already."""
+    """The host that bootstraps the replicated log; None if the log exists already."""
 
     founder: Place | None
 
--- a/src/alderhatch/node/tier_server.py
+++ b/src/alderhatch/node/tier_server.py
@@ -1,4 +1,4 @@
-"""The leader's side of the links over which the hosts of a tier learn what is in force."""
+"""The leader's side of the links over which it keeps the hosts of a tier up to date."""
 
 from __future__ import annotations
 
@@ -38,25 +38,24 @@
 from .voter_plan import DiskHost
 
 HOST_ROLE = "host"
-VIEW_GAP: Millis = 100.0
-"""Between two words of who is there. A hundred hosts that join or leave together are told of at
-once: told one by one, each would be sent a hundred views."""
-SETTLE: Millis = 500.0
-"""How long a new leader keeps who is there to itself while hosts are still joining. They have the
-last leader's word; a first word of only those that were quickest would send all callers to these.
-"""
-WATCH_EVERY: Millis = 200.0
-PULSE_EVERY: Millis = 500.0
-"""How often a host hears that its leader is there when there is no other news."""
-SILENT_AFTER: Millis = 1600.0
-"""A host that has not reported for so long is dead; three reports fit in."""
-CONFIGURATION_GAP: Millis = 150.0
-"""Between two configurations over one link. Of several that follow each other closely only the
-newest is sent: a burst of large ones would fill the links between zones."""
+VIEW_INTERVAL: Millis = 100.0
+"""Least time between two views. If a hundred hosts join or leave together, one view covers them
+all; otherwise each host would be sent a hundred views."""
+SETTLE_TIME: Millis = 500.0
+"""How long a new leader sends no view while hosts are still joining. Until then the hosts use the
+last leader's view. A first view with only the quickest hosts would send all callers to those."""
+WATCH_INTERVAL: Millis = 200.0
+PULSE_INTERVAL: Millis = 500.0
+"""How often the leader sends a keep-alive while it has no updates."""
+SESSION_TIMEOUT: Millis = 1600.0
+"""A host that has not reported for this time counts as lost; three reports fit into it."""
+CONFIGURATION_INTERVAL: Millis = 150.0
+"""Least time between two configurations over one link. Of several in quick succession only the
+newest is sent, as a burst of large ones would saturate the links between zones."""
 
 
 class _Session:
-    """One host that follows this leader."""
+    """The leader's session with one host that follows it."""
 
     def __init__(self, join: Join, link: Link, scope: trio.CancelScope, now: Millis) -> None:
         self.join = join
@@ -67,11 +66,11 @@
         self.serving = False
         self.disk = join.disk
         self.joined_at = now
-        self.duty = HostMode.UNDECIDED
-        self.told = SentState()
+        self.mode = HostMode.UNDECIDED
+        self.sent_state = SentState()
 
     def record(self) -> HostRecord:
-        """Return the host as callers need to know it."""
+        """Return the host's record for views."""
         join = self.join
         return HostRecord(
             join.place.name,
@@ -87,50 +86,50 @@
     """Keeps a session with each host while this host leads.
 
     Args:
-        member: This host's part in the replicated log.
-        orders: Returns what the log's state says that operators have ordered.
-        list_is_fresh: Returns whether the list of servers was read lately.
-        redirect: Returns what a host is told while this one does not lead.
-        kept: Returns what a host, given by name, can serve by; None if this one knows no
-            configuration or no other hosts.
-        on_introduction: Told of a leader that has introduced itself.
-        choose: Returns those of some hosts that callers are sent to, if these are to have so much
-            processor time together.
-        alive_before: Returns how many hosts there are by the last leader's word.
-        codec: The tier's messages.
+        member: This host's member of the replicated log; None without a disk.
+        directives: Returns the configuration and the evacuations that are in force in the log.
+        list_is_fresh: Returns whether the server list was read recently.
+        redirect: Returns the answer to a host while this one does not lead.
+        retained_state: Returns the state that a host, given by name, can serve from; None if this
+            host knows no configuration or no other hosts.
+        on_introduction: Called with a leader that has announced itself.
+        select_active: Returns the active hosts among some hosts, given the processor time that they
+            should have together.
+        previous_host_count: Returns the number of hosts in the last leader's view.
+        codec: The codec of the tier's messages.
     """
 
     def __init__(
         self,
         member: ControlMember | None,
-        orders: Callable[[], TierDirectives],
+        directives: Callable[[], TierDirectives],
         list_is_fresh: Callable[[], bool],
         redirect: Callable[[], Redirect],
-        kept: Callable[[str], KeptNews | None],
+        retained_state: Callable[[str], KeptNews | None],
         on_introduction: Callable[[Place], None],
-        choose: Callable[[Iterable[HostRecord], float], list[HostRecord]],
+        select_active: Callable[[Iterable[HostRecord], float], list[HostRecord]],
         previous_host_count: Callable[[], int],
         codec: Codec,
     ) -> None:
         self._member = member
-        self._orders = orders
+        self._directives = directives
         self._list_is_fresh = list_is_fresh
         self._redirect = redirect
-        self._kept = kept
+        self._retained_state = retained_state
         self._on_introduction = on_introduction
-        self._choose = choose
-        self._alive_before = previous_host_count
+        self._select_active = select_active
+        self._previous_host_count = previous_host_count
         self._clock = LoopClock()
         self._sessions: dict[str, _Session] = {}
         self._view_due = trio.Event()
-        """Set when who is there has changed; replaced when it is told."""
-        self._news = TierUpdates(codec.encode)
+        """Set when the hosts have changed; replaced by a new event when the view is updated."""
+        self._updates = TierUpdates(codec.encode)
         self._crashes = CrashCounter()
         self._demand = HostDemand()
         self.updates_pending = Signal()
-        """Notified when there is something to tell the hosts."""
+        """Notified when there are updates for the hosts."""
         self.role_changed = Signal()
-        """Notified when this host may have begun or ceased to lead."""
+        """Notified when this host may have gained or lost leadership."""
 
     @property
     def leads(self) -> bool:
@@ -138,8 +137,8 @@
         return self._member is not None and self._member.leads
 
     def update_server_list(self, records: dict[str, ServerRecord]) -> None:
-        """Take a newer list of servers and tell all hosts what changed."""
-        if self._news.set_servers(records):
+        """Replace the server list and send all hosts what changed."""
+        if self._updates.set_servers(records):
             self.updates_pending.notify()
 
     def disk_hosts(self) -> dict[str, DiskHost]:
@@ -157,39 +156,43 @@
     # Links
 
     async def serve(self, link: Link) -> None:
-        """Follow one host's link until it closes or this host leads no more."""
+        """Serve one host's link until it closes or this host no longer leads."""
         first: object = None
-        with trio.move_on_after(SILENT_AFTER / SECOND):
+        with trio.move_on_after(SESSION_TIMEOUT / SECOND):
             first = await link.receive()
         match first:
             case Introduction(leader):
                 self._on_introduction(leader)
             case Join() if self.leads:
-                await self._follow(first, link)
+                await self._serve_session(first, link)
             case Join():
-                await self._send_on(first, link)
+                await self._redirect_host(first, link)
 
-    async def _send_on(self, join: Join, link: Link) -> None:
+    async def _redirect_host(self, join: Join, link: Link) -> None:
         redirect = self._redirect()
-        kept = self._kept(join.place.name) if redirect.leader is None and not join.started else None
-        if kept is not None:
-            # Nobody else tells the other host anything without a leader. It would refuse callers
-            # whom it can serve as well as this one does.
-            await link.send(kept)
+        retained_state = (
+            self._retained_state(join.place.name)
+            if redirect.leader is None and not join.started
+            else None
+        )
+        if retained_state is not None:
+            # Without a leader the other host gets its state from nowhere else. It would refuse
+            # callers that it could serve as well as this host does.
+            await link.send(retained_state)
         await link.send(redirect)
 
-    async def _follow(self, join: Join, link: Link) -> None:
+    async def _serve_session(self, join: Join, link: Link) -> None:
         name = join.place.name
         async with trio.open_nursery() as nursery:
             session = _Session(join, link, nursery.cancel_scope, self._clock.now())
             self._sessions[name] = session
             if len(self._sessions) <= MIN_ADVERTISED_HOSTS:
-                session.duty = HostMode.AT_FIRST
+                session.mode = HostMode.AT_FIRST
             log_event(LogEvent.HOST_JOINED, host=name, zone=join.zone)
             self._view_due.set()
             try:
-                nursery.start_soon(self._tell, session)
-                await self._listen(session)
+                nursery.start_soon(self._send_updates, session)
+                await self._receive_reports(session)
                 nursery.cancel_scope.cancel()
             finally:
                 if self._sessions.get(name) is session:
@@ -200,7 +203,7 @@
     def _silence(self, session: _Session) -> int:
         return int(self._clock.now() - session.heard_at)
 
-    async def _listen(self, session: _Session) -> None:
+    async def _receive_reports(self, session: _Session) -> None:
         while True:
             try:
                 message = await session.link.receive()
@@ -210,131 +213,141 @@
                 return
             session.heard_at = self._clock.now()
             session.disk = message.disk
-            self._take_crashes(message)
+            self._record_crashes(message)
             self._demand.count(message.sends, session.heard_at)
-            if message.wants_servers and session.duty is not HostMode.SERVES:
-                session.duty = HostMode.SERVES
+            if message.wants_servers and session.mode is not HostMode.SERVES:
+                session.mode = HostMode.SERVES
                 self.updates_pending.notify()
             if message.serving != session.serving:
                 session.serving = message.serving
                 self._view_due.set()
 
-    def _take_crashes(self, report: Report) -> None:
+    def _record_crashes(self, report: Report) -> None:
         for fingerprint, server_id in report.crashes:
             if self._crashes.report(fingerprint, server_id, self._clock.now()):
                 log_event(LogEvent.REQUEST_QUARANTINED, fingerprint=fingerprint, server=server_id)
                 self._view_due.set()
 
-    async def _tell(self, session: _Session) -> None:
+    async def _send_updates(self, session: _Session) -> None:
         try:
-            # The host asks others as well until it hears that this one leads.
+            # The host queries others as well until it knows that this one leads.
             await session.link.send(self._pulse(session))
             while True:
-                news = self._news.updates_since(session.told, self._orders(), session.duty)
-                session.told = news.told
-                for message in news.messages:
+                updates = self._updates.updates_since(
+                    session.sent_state, self._directives(), session.mode
+                )
+                session.sent_state = updates.told
+                for message in updates.messages:
                     await session.link.send_encoded(message)
-                if news.has_configuration:
-                    await trio.sleep(CONFIGURATION_GAP / SECOND)
-                elif not news.messages and not await self.updates_pending.wait_for(PULSE_EVERY):
+                if updates.has_configuration:
+                    await trio.sleep(CONFIGURATION_INTERVAL / SECOND)
+                elif not updates.messages and not await self.updates_pending.wait_for(
+                    PULSE_INTERVAL
+                ):
                     await session.link.send(self._pulse(session))
         except LinkClosedError:
             session.scope.cancel()
 
     def _pulse(self, session: _Session) -> Pulse:
-        is_told = session.told.servers.number > 0
-        return Pulse(is_told and self._list_is_fresh())
+        has_servers = session.sent_state.servers.number > 0
+        return Pulse(has_servers and self._list_is_fresh())
 
     # All hosts
 
     async def run(self) -> None:
-        """Watch the hosts that follow, and tell who is there, until cancelled."""
+        """Watch the sessions and keep the view up to date, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch)
-            nursery.start_soon(self._tell_views)
+            nursery.start_soon(self._update_views)
 
     async def _watch(self) -> None:
-        """End the sessions of hosts that are silent, or all if this host leads no more."""
+        """End the sessions of silent hosts, or all sessions if this host no longer leads."""
         watched_at = self._clock.now()
         while True:
-            await trio.sleep(WATCH_EVERY / SECOND)
+            await trio.sleep(WATCH_INTERVAL / SECOND)
             now = self._clock.now()
-            # While this process was busy, nobody read what the hosts had sent. Without the
-            # allowance one such time would drop them all, and all would join again at once.
-            stall = max(0.0, now - watched_at - WATCH_EVERY)
+            # While this process was stalled, it did not read the hosts' reports. Without this
+            # allowance one stall would drop all hosts, and all would join again at once.
+            stall = max(0.0, now - watched_at - WATCH_INTERVAL)
             watched_at = now
             for session in self._sessions.values():
                 session.heard_at = min(now, session.heard_at + stall)
-                if not self.leads or now - session.heard_at >= SILENT_AFTER:
+                if not self.leads or now - session.heard_at >= SESSION_TIMEOUT:
                     session.scope.cancel()
 
-    async def _tell_views(self) -> None:
+    async def _update_views(self) -> None:
         led_at: Millis | None = None
         while True:
-            # A look without a change, as the need and the members of the log may have changed.
-            with trio.move_on_after(PULSE_EVERY / SECOND):
+            # Also runs without an event, as the processor time needed and the members of the log
+            # may have changed.
+            with trio.move_on_after(PULSE_INTERVAL / SECOND):
                 await self._view_due.wait()
             self._view_due = trio.Event()
             if not self.leads:
                 led_at = None
-                self._news.clear_view()
+                self._updates.clear_view()
                 continue
             now = self._clock.now()
             led_at = led_at or now
-            if now - led_at >= SETTLE or self._all_are_back():
-                self._tell_view(now)
-            await trio.sleep(VIEW_GAP / SECOND)
+            if now - led_at >= SETTLE_TIME or self._all_hosts_returned():
+                self._update_view(now)
+            await trio.sleep(VIEW_INTERVAL / SECOND)
 
-    def _tell_view(self, now: Millis) -> None:
+    def _update_view(self, now: Millis) -> None:
         view = self.view()
-        has_duties = self._give_duties({host.name for host in view.hosts}, now)
-        has_view = self._news.set_view(view)
-        if self._news.set_quarantined(self._crashes.refused(now)) or has_view or has_duties:
+        modes_changed = self._assign_modes({host.name for host in view.hosts}, now)
+        view_changed = self._updates.set_view(view)
+        if (
+            self._updates.set_quarantined(self._crashes.refused(now))
+            or view_changed
+            or modes_changed
+        ):
             self.updates_pending.notify()
 
-    def _give_duties(self, named: set[str], now: Millis) -> bool:
-        """Decide who follows the list of servers, and who stands by; return whether any is new.
+    def _assign_modes(self, host_names: set[str], now: Millis) -> bool:
+        """Decide which hosts get the server list and which stand by; return whether any changed.
 
-        Who once serves goes on with it: its connections are open, and it may be needed again.
+        A host that serves keeps that mode, as its connections are open and it may be needed again.
         """
         is_small = len(self._sessions) <= MIN_ADVERTISED_HOSTS
-        is_new = False
+        has_changed = False
         for name, session in self._sessions.items():
-            before = session.duty
+            before = session.mode
             if before is not HostMode.SERVES:
-                is_settled = now - session.joined_at >= SETTLE
-                session.duty = _duty(before, name in named or is_small, is_settled)
-            is_new = is_new or session.duty is not before
-        return is_new
+                is_settled = now - session.joined_at >= SETTLE_TIME
+                session.mode = _next_mode(before, name in host_names or is_small, is_settled)
+            has_changed = has_changed or session.mode is not before
+        return has_changed
 
-    def _all_are_back(self) -> bool:
-        """Return whether as many hosts follow this leader as followed the last one."""
-        return advertised_host_count(len(self._sessions)) >= self._alive_before()
+    def _all_hosts_returned(self) -> bool:
+        """Return whether at least as many hosts follow this leader as followed the last one."""
+        return advertised_host_count(len(self._sessions)) >= self._previous_host_count()
 
     def view(self) -> TierView:
-        """Return who is there now, as far as each host has to know."""
+        """Return the current view to be sent to each host."""
         hosts = [session.record() for session in self._sessions.values()]
         serving = [host for host in hosts if host.serving]
         needed = self._demand.processor_needed()
-        # Those that don't serve yet are named as well: a host that keeps the view may be the only
-        # one that starts with it.
-        chosen = len(self._choose(serving, needed))
-        named = {
+        # Hosts that don't serve yet are included: after a restart, a host with this view in its
+        # checkpoint may be the only one that is up.
+        chosen = len(self._select_active(serving, needed))
+        host_names = {
             host.name
             for host in (*advertised_hosts(hosts, chosen), *advertised_hosts(serving, chosen))
         }
-        told = [host for host in rank_hosts(hosts) if host.name in named]
+        listed = [host for host in rank_hosts(hosts) if host.name in host_names]
         controls = self._member.controls() if self._member is not None else []
-        return TierView(told, controls, needed, advertised_host_count(len(hosts)))
+        return TierView(listed, controls, needed, advertised_host_count(len(hosts)))
 
 
-def _duty(before: HostMode, is_needed: bool, is_settled: bool) -> HostMode:
-    """Return the duty of a host that is not known to serve.
+def _next_mode(before: HostMode, is_needed: bool, is_settled: bool) -> HostMode:
+    """Return the next mode of a host whose mode is not ``SERVES``.
 
     Args:
-        before: What it was.
-        is_needed: Whether it is one of those that should ask servers.
-        is_settled: Whether it joined so long ago that those that joined with it are there as well.
+        before: The previous mode.
+        is_needed: Whether the host should query servers.
+        is_settled: Whether the host joined long enough ago that hosts that started with it have
+            joined as well.
     """
     if is_needed:
         return HostMode.SERVES if is_settled else HostMode.AT_FIRST
--- a/src/alderhatch/node/tier_updates.py
+++ b/src/alderhatch/node/tier_updates.py
@@ -1,4 +1,4 @@
-"""What a leader has to tell its hosts, worked out and encoded once for all of them."""
+"""Updates from the leader to its hosts, computed and encoded once for all hosts."""
 
 from __future__ import annotations
 
@@ -20,58 +20,58 @@
 
 
 class ServerList(NamedTuple):
-    """The list of servers as the leader last read it."""
+    """The server list as the leader last read it."""
 
     number: int
-    """Goes up with each change."""
+    """Increases with each change."""
     records: dict[str, ServerRecord]
     """By server id; never changed in place."""
 
 
-NO_LIST = ServerList(0, {})
+NO_SERVER_LIST = ServerList(0, {})
 
 
 class HostMode(Enum):
-    """What a host is needed for."""
+    """Whether a host queries servers itself or stands by."""
 
     UNDECIDED = auto()
-    """It has just joined. Hosts join in any order, and who is needed shows when most are there."""
+    """The host has just joined. Which hosts are needed is known only once most have joined."""
     AT_FIRST = auto()
-    """It asks servers itself until that is decided, so that a small tier loses no time."""
+    """It queries servers itself until that is decided, so that a small tier starts at once."""
     SERVES = auto()
-    """It asks servers itself, for callers that are sent to it now or may be soon."""
+    """It queries servers itself, as callers are sent to it now or may be soon."""
     STANDS_BY = auto()
 
 
 class SentState(NamedTuple):
-    """What one host was told last."""
+    """What one host was sent last."""
 
     version: int = 0
-    """The number of its configuration."""
-    servers: ServerList = NO_LIST
+    """The version of the configuration."""
+    servers: ServerList = NO_SERVER_LIST
     view: TierView | None = None
     refused: tuple[str, ...] = ()
-    """The requests that no host sends to any server."""
+    """The fingerprints of the quarantined requests."""
     stands_by: bool = False
     evacuations: Evacuations = NO_EVACUATIONS
 
 
 class HostUpdates(NamedTuple):
-    """What one host has to be told now."""
+    """The messages that bring one host up to date."""
 
     messages: list[bytes]
     told: SentState
-    """What it was told last, once they are sent."""
+    """What the host was sent last, once these messages are sent."""
     has_configuration: bool
-    """Whether a configuration is among them."""
+    """Whether the messages include a configuration."""
 
 
 class TierUpdates:
-    """The newest of each kind, and its message for hosts that know an earlier one.
+    """Holds the newest state of each kind, and the encoded messages that update hosts to it.
 
-    Worked out for each host anew, a change among a thousand servers or hosts costs the leader's
-    processor their number times that of the hosts; its own requests, and the log's heartbeats,
-    wait behind that work.
+    If each host's messages were computed separately, the processor time of a change would grow with
+    the number of hosts times the number of servers. With a thousand servers or hosts, this would
+    delay the leader's own requests and the heartbeats of the log.
 
     Args:
         encode: Returns the bytes of a message.
@@ -79,26 +79,26 @@
 
     def __init__(self, encode: Callable[[tuple[Any, ...]], bytes]) -> None:
         self._encode = encode
-        self._servers = NO_LIST
+        self._servers = NO_SERVER_LIST
         self._view: TierView | None = None
-        self._refused: tuple[str, ...] = ()
+        self._quarantined: tuple[str, ...] = ()
         self._configuration: tuple[int, bytes] = (0, b"")
-        self._differences: dict[int, bytes] = {}
-        """Messages that bring a host to the newest list, by the number of the list it has."""
+        self._server_messages: dict[int, bytes] = {}
+        """Messages that update a host to the newest list, by the number of the list it has."""
         self._view_message = b""
-        self._refused_message = b""
+        self._quarantine_message = b""
         self._standing_messages = {one: encode(Standing(one)) for one in (False, True)}
 
     def set_servers(self, records: dict[str, ServerRecord]) -> bool:
-        """Take a newer list of servers; return whether anything changed."""
+        """Set the newest server list; return whether it changed."""
         if records == self._servers.records:
             return False
         self._servers = ServerList(self._servers.number + 1, records)
-        self._differences = {}
+        self._server_messages = {}
         return True
 
     def set_view(self, view: TierView) -> bool:
-        """Take who is there; return whether anything changed."""
+        """Set the newest view of the hosts; return whether it changed."""
         if view == self._view:
             return False
         self._view = view
@@ -106,48 +106,52 @@
         return True
 
     def clear_view(self) -> None:
-        """Tell nobody who is there until that is taken again."""
+        """Send no view to hosts until one is set again."""
         self._view = None
 
     def set_quarantined(self, fingerprints: list[str]) -> bool:
-        """Take which requests are refused everywhere; return whether anything changed."""
+        """Set the fingerprints of the quarantined requests; return whether they changed."""
         refused = tuple(fingerprints)
-        if refused == self._refused:
+        if refused == self._quarantined:
             return False
-        self._refused = refused
-        self._refused_message = self._encode(QuarantineNews(fingerprints))
+        self._quarantined = refused
+        self._quarantine_message = self._encode(QuarantineNews(fingerprints))
         return True
 
-    def updates_since(self, told: SentState, orders: TierDirectives, duty: HostMode) -> HostUpdates:
-        """Return what a host has to be told.
+    def updates_since(
+        self, told: SentState, directives: TierDirectives, mode: HostMode
+    ) -> HostUpdates:
+        """Return the messages that bring a host up to date.
 
         Args:
-            told: What it was told last.
-            orders: What operators have ordered.
-            duty: What it is needed for.
+            told: What the host was sent last.
+            directives: The configuration and the evacuations that are in force.
+            mode: The mode of the host.
         """
-        stored, evacuations = orders
+        stored, evacuations = directives
         messages: list[bytes] = []
         if evacuations != told.evacuations:
-            # Before everything that lets a host serve: one that heard of it later would send
-            # requests to an evacuated zone in between.
+            # Sent before everything that lets a host serve. A host that received it later would
+            # send requests to an evacuated zone in between.
             messages.append(self._encode(EvacuationNews(evacuations)))
         has_configuration = stored.version > told.version
         if has_configuration:
             messages.append(self._configuration_message(stored))
-        stands_by = duty is HostMode.STANDS_BY
+        stands_by = mode is HostMode.STANDS_BY
         if stands_by != told.stands_by:
             messages.append(self._standing_messages[stands_by])
-        servers = self._servers if duty in (HostMode.AT_FIRST, HostMode.SERVES) else NO_LIST
-        if servers.number not in (told.servers.number, NO_LIST.number):
-            messages.append(self._difference_from(told.servers))
+        servers = self._servers if mode in (HostMode.AT_FIRST, HostMode.SERVES) else NO_SERVER_LIST
+        if servers.number not in (told.servers.number, NO_SERVER_LIST.number):
+            messages.append(self._server_changes_message(told.servers))
         if self._view is not None and self._view is not told.view:
             messages.append(self._view_message)
-        if self._refused != told.refused:
-            messages.append(self._refused_message)
+        if self._quarantined != told.refused:
+            messages.append(self._quarantine_message)
         version = max(stored.version, told.version)
-        now = SentState(version, servers, self._view, self._refused, stands_by, evacuations)
-        return HostUpdates(messages, now, has_configuration)
+        new_state = SentState(
+            version, servers, self._view, self._quarantined, stands_by, evacuations
+        )
+        return HostUpdates(messages, new_state, has_configuration)
 
     def _configuration_message(self, stored: StoredConfiguration) -> bytes:
         version, message = self._configuration
@@ -156,15 +160,15 @@
             self._configuration = (stored.version, message)
         return message
 
-    def _difference_from(self, old: ServerList) -> bytes:
-        known = self._differences.get(old.number)
+    def _server_changes_message(self, old: ServerList) -> bytes:
+        known = self._server_messages.get(old.number)
         if known is None:
-            known = self._encode(_difference(old, self._servers))
-            self._differences[old.number] = known
+            known = self._encode(_server_changes(old, self._servers))
+            self._server_messages[old.number] = known
         return known
 
 
-def _difference(old: ServerList, new: ServerList) -> ServerNews:
+def _server_changes(old: ServerList, new: ServerList) -> ServerNews:
     before = old.records
     changed = [record for name, record in new.records.items() if before.get(name) != record]
     gone = [name for name in before if name not in new.records]
--- a/src/alderhatch/node/voter_plan.py
+++ b/src/alderhatch/node/voter_plan.py
@@ -1,4 +1,4 @@
-"""Which change of the replicated log's members comes next, without an operator."""
+"""Decides the next membership change of the replicated log without an operator."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from ..core.raft.membership import MAX_VOTERS, Membership
 from .tier_messages import DiskRecord, Place
 
-LOST_SHARE = 0.4
-"""The part of the time that a host has to catch up after which a silent voter is lost; the rest is
-for an election, if the lost voter led, and for the steps that give its successor the vote."""
+LOSS_TIMEOUT_FRACTION = 0.4
+"""The fraction of the catch-up time after which a silent voter counts as lost. The rest is left for
+an election, if the lost voter led, and for the steps that give its successor the vote."""
 
 
 class DiskHost(NamedTuple):
@@ -23,68 +23,67 @@
 
 
 def required_voters(tolerated: int) -> int:
-    """Return how many voters survive the loss of so many hosts at once."""
+    """Return how many voters are required to tolerate the loss of so many hosts at once."""
     return min(MAX_VOTERS, max(3, 2 * tolerated + 1))
 
 
 def voter_loss_timeout(catch_up: Millis) -> Millis:
-    """Return how long a voter may be silent before a host that waits takes its vote.
+    """Return how long a voter may be silent before a spare host replaces it.
 
-    When a host has gone for good, its successor counts as able to replace it once it had its time
-    to catch up, and from then on the next loss may come. A successor that still had no vote then
-    would leave a log without a majority for ever: no change would be taken, and none that was
-    acknowledged could be read. A vote that moves too early is no loss, as a host that is back
-    receives the log again.
+    After a host is lost for good, its successor has the catch-up time to replace it. From then on
+    the next host may be lost. If the successor still had no vote at that point, the log would lose
+    its majority for good: no change could be accepted, and acknowledged changes could not be read.
+    Replacing a voter too early does no harm, as a returning host receives the log again.
 
     Args:
-        catch_up: How long a host that is new or back has to catch up.
+        catch_up: How long a new or returning host has to catch up.
     """
-    return LOST_SHARE * catch_up
+    return LOSS_TIMEOUT_FRACTION * catch_up
 
 
 def next_step(
     membership: Membership,
     hosts: Mapping[str, DiskHost],
     caught_up: frozenset[str],
-    unheard: Mapping[str, Millis],
-    wanted: int,
-    patience: Millis,
+    silence: Mapping[str, Millis],
+    required: int,
+    loss_timeout: Millis,
 ) -> Step | None:
-    """Return the one thing to do next, or None if the members are as they should be.
+    """Return the next membership change, or None if none is needed.
 
-    Hosts receive the log as learners as soon as they appear, so that a voter can be replaced at
-    once. A host whose disk was lost comes back as another member under its old name; its old
-    identity, which can never answer again, is removed with the promotion of the new one.
+    Hosts become learners as soon as they appear, so that a voter can be replaced at once. A host
+    whose disk was lost returns as a new member under its old name. Its old member ID, which can
+    never answer again, is removed when the new member is promoted.
 
-    A lost voter is removed before its successor has the vote. The other way round the successor may
-    have gone as well, unnoticed yet: of four voters two are lost then, and nobody can lead again
-    although two of the three before are well.
+    A lost voter is removed before its successor gets the vote. In the other order the successor may
+    also be lost without the leader noticing yet. Two of four voters would then be lost, and no
+    leader could be elected, although two of the original three voters still run.
 
     Args:
         membership: The members.
         hosts: The live hosts with disks, by name.
         caught_up: The names of learners that have nearly all of the log.
-        unheard: For how long the leader has not heard a voter, by name.
-        wanted: How many voters there should be.
-        patience: After how long a silence a member counts as lost.
+        silence: How long ago the leader last heard from each member, by name.
+        required: The required number of voters.
+        loss_timeout: How long a member has to be silent to count as lost.
     """
     for name in sorted(hosts):
         place, disk = hosts[name]
         if membership.find(disk.member_id) is None:
             return AddMember(name, place.address, place.port)
     voters = {member.name: member for member in membership.voters}
-    lost = [name for name in voters if unheard.get(name, 0.0) >= patience]
-    waiting = [one.name for one in membership.learners if one.name in caught_up]
-    for name in sorted(waiting):
+    lost = [name for name in voters if silence.get(name, 0.0) >= loss_timeout]
+    ready_learners = [learner.name for learner in membership.learners if learner.name in caught_up]
+    for name in sorted(ready_learners):
         if name not in hosts:
             continue
-        if name in voters or len(voters) < wanted:
+        if name in voters or len(voters) < required:
             return PromoteMember(name)
-        if lost and len(voters) == wanted:
+        if lost and len(voters) == required:
             return ReplaceMember(lost[0], name)
-    if len(voters) > wanted and lost:
+    if len(voters) > required and lost:
         return RemoveMember(lost[0])
     for member in membership.learners:
-        if member.name not in hosts and unheard.get(member.name, 0.0) >= patience:
+        if member.name not in hosts and silence.get(member.name, 0.0) >= loss_timeout:
             return RemoveMember(member.name)
     return None
--- a/src/alderhatch/node/voter_reconciler.py
+++ b/src/alderhatch/node/voter_reconciler.py
@@ -1,4 +1,4 @@
-"""Keeps the members of the replicated log as ``voter_plan`` wants them while this host leads."""
+"""Applies the membership changes that ``voter_plan`` decides on while this host leads the log."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class VoterReconciler:
-    """Takes one step at a time.
+    """Brings the voters of the log to the required number, one step at a time.
 
     Args:
-        member: This host's part in the log.
+        member: This host's member of the log.
         server: Knows the live hosts and their disks.
         tolerated: How many hosts with a disk may be lost at once.
-        catch_up: How long a host that is new or back has to catch up, in milliseconds.
+        catch_up: How long a new or returning host has to catch up, in milliseconds.
     """
 
     def __init__(
@@ -30,35 +30,37 @@
     ) -> None:
         self._member = member
         self._server = server
-        self._wanted = required_voters(tolerated)
-        self._patience = voter_loss_timeout(catch_up)
+        self._required = required_voters(tolerated)
+        self._loss_timeout = voter_loss_timeout(catch_up)
         self._clock = LoopClock()
-        self._heard_at: dict[str, Millis] = {}
+        self._last_heard_at: dict[str, Millis] = {}
 
     async def run(self) -> None:
         """Take steps until cancelled."""
         while True:
             log = self._member.log
             if log is None or not log.is_leader:
-                self._heard_at.clear()
+                self._last_heard_at.clear()
                 await trio.sleep(STEP_INTERVAL / SECOND)
                 continue
-            step = self._next(log)
+            step = self._next_step(log)
             if step is not None and await take_step(log, step):
-                # While a lost voter and its successor both have a vote, the next loss would take
-                # the majority along; so the step that ends this follows at once.
+                # While a lost voter and its successor both have a vote, the next loss would cost
+                # the majority. The step that ends this state must follow at once.
                 continue
-            failed = step is not None
-            await trio.sleep((RETRY_INTERVAL if failed else STEP_INTERVAL) / SECOND)
+            step_failed = step is not None
+            await trio.sleep((RETRY_INTERVAL if step_failed else STEP_INTERVAL) / SECOND)
 
-    def _next(self, log: LogNode) -> Step | None:
+    def _next_step(self, log: LogNode) -> Step | None:
         now = self._clock.now()
         membership = log.membership
-        heard = log.responsive_members()
+        responsive = log.responsive_members()
         for member in membership.members:
-            if member.name in heard or member.name not in self._heard_at:
-                self._heard_at[member.name] = now
-        unheard = {name: now - at for name, at in self._heard_at.items()}
-        caught_up = frozenset(one.name for one in membership.learners if log.caught_up(one.name))
+            if member.name in responsive or member.name not in self._last_heard_at:
+                self._last_heard_at[member.name] = now
+        silence = {name: now - at for name, at in self._last_heard_at.items()}
+        caught_up = frozenset(
+            learner.name for learner in membership.learners if log.caught_up(learner.name)
+        )
         hosts = self._server.disk_hosts()
-        return next_step(membership, hosts, caught_up, unheard, self._wanted, self._patience)
+        return next_step(membership, hosts, caught_up, silence, self._required, self._loss_timeout)
