--- a/features/steps/hand_over_steps.py
+++ b/features/steps/hand_over_steps.py
@@ -31,7 +31,7 @@
 from alderhatch.node.hand_over_server import HandOverServer
 from alderhatch.node.tier_messages import ServerNews, Standing
 from features.steps.caller_hosts_steps import node_before_servers
-from features.steps.tier_size_steps import played
+from features.steps.tier_size_steps import tier_after_script
 from features.support.tier_hosts import server_list
 
 SECRET = b"the secret of a tier of the tests"
@@ -424,8 +424,8 @@
 @then("at least {least:d} and at most {most:d} hosts were told the list of servers")
 def step_told_servers(context, least, most):
     context.script.insert(0, give_list)
-    tier = played(context)
-    count = sum(bool(host.heard(ServerNews)) for host in tier.hosts)
+    tier = tier_after_script(context)
+    count = sum(bool(host.received(ServerNews)) for host in tier.hosts)
     assert least <= count <= most, count
 
 
@@ -436,8 +436,8 @@
 @then("each of the others was told that it stands by")
 def step_told_standing(context):
     for host in context.tier.hosts:
-        stands_by = host.heard(Standing) == [Standing(True)]
-        assert stands_by != bool(host.heard(ServerNews)), host.name
+        stands_by = host.received(Standing) == [Standing(True)]
+        assert stands_by != bool(host.received(ServerNews)), host.name
 
 
 @when("the last host asks for the list of servers")
@@ -451,9 +451,9 @@
 
 @then("the last host was told the list of servers")
 def step_last_told(context):
-    host = played(context).hosts[-1]
-    assert host.heard(Standing) == [Standing(True), Standing(False)]
-    assert len(host.heard(ServerNews)) == 1
+    host = tier_after_script(context).hosts[-1]
+    assert host.received(Standing) == [Standing(True), Standing(False)]
+    assert len(host.received(ServerNews)) == 1
 
 
 # Configurations
--- a/features/steps/node_tier_client_steps.py
+++ b/features/steps/node_tier_client_steps.py
@@ -26,60 +26,60 @@
 
 SECRET = b"the secret of a tier of the tests"
 CODEC = Codec(*TIER_MESSAGE_TYPES)
-PATIENCE_S = 30
+TIMEOUT_S = 30
 VERSION = 17
 VIEW = TierView([], [], 1.0)
-VIEW_OF_MANY = TierView([HostRecord("other", "zone", "127.0.0.1:1", True, 1.0)], [], 1.0, 100)
+LARGE_TIER_VIEW = TierView([HostRecord("other", "zone", "127.0.0.1:1", True, 1.0)], [], 1.0, 100)
 
 
-def host_of_tier(context, kind):
+def add_host(context, kind):
     hosts = context.tier_hosts = getattr(context, "tier_hosts", [])
     hosts.append(SimpleNamespace(kind=kind, place=None))
 
 
 @given("a host of a tier that names itself as the leader but does not lead")
-def step_self(context):
-    host_of_tier(context, "names itself")
+def step_names_itself(context):
+    add_host(context, "names itself")
 
 
 @given("a host of a tier that names the next one")
-def step_next(context):
-    host_of_tier(context, "names the next")
+def step_names_next(context):
+    add_host(context, "names the next")
 
 
 @given("two hosts of a tier that name each other as the leader")
 def step_each_other(context):
-    host_of_tier(context, "names the next")
-    host_of_tier(context, "names the one before")
+    add_host(context, "names the next")
+    add_host(context, "names the one before")
 
 
-@given("a host of a tier that takes connections and says nothing")
-def step_mute(context):
-    host_of_tier(context, "mute")
+@given("a host of a tier that accepts connections and never answers")
+def step_silent(context):
+    add_host(context, "silent")
 
 
 @given("a host of a tier that has a configuration and no leader")
-def step_kept(context):
-    host_of_tier(context, "keeps")
+def step_retains(context):
+    add_host(context, "retains state")
 
 
 @given("a host of a tier of 100 that has a configuration and no leader")
-def step_kept_of_many(context):
-    host_of_tier(context, "keeps")
+def step_retains_large(context):
+    add_host(context, "retains state")
 
 
 @given("a host of a tier that leads")
 def step_leads(context):
-    host_of_tier(context, "leads")
+    add_host(context, "leads")
 
 
-def answer_of(hosts, index):
+def answer_from(hosts, index):
     match hosts[index].kind:
         case "names itself":
             return Redirect(hosts[index].place, [])
         case "names the next":
             return Redirect(hosts[index + 1].place, [])
-        case "keeps":
+        case "retains state":
             return Redirect(None, [])
         case "names the one before":
             return Redirect(hosts[index - 1].place, [])
@@ -90,10 +90,10 @@
 async def serve_host(hosts, index, nursery):
     async def handle(link):
         await link.receive()
-        if hosts[index].kind == "keeps":
-            view = VIEW_OF_MANY if len(hosts) == 1 else VIEW
+        if hosts[index].kind == "retains state":
+            view = LARGE_TIER_VIEW if len(hosts) == 1 else VIEW
             await link.send(KeptNews(ConfigurationNews(VERSION, b"packed"), view, []))
-        await link.send(answer_of(hosts, index))
+        await link.send(answer_from(hosts, index))
         while hosts[index].kind == "leads":
             await link.send(Pulse(True))
             await trio.sleep(0.2)
@@ -101,15 +101,15 @@
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     hosts[index].place = Place(f"host-{index}", "127.0.0.1", port)
-    if hosts[index].kind == "mute":
+    if hosts[index].kind == "silent":
         nursery.start_soon(trio.serve_listeners, lambda _: trio.sleep_forever(), listeners)
         return
     me = Peer(f"host-{index}", "control")
     nursery.start_soon(serve_links, listeners, CODEC, SECRET, me, handle)
 
 
-class Beliefs:
-    """What the host that looks believes, as far as a test needs it."""
+class StubNodeState:
+    """The parts of ``NodeState`` that a searching host needs in a test."""
 
     def __init__(self, version=0):
         self.name = "me"
@@ -119,11 +119,11 @@
         self.is_started = version > 0
         self.version = version
         self.stands_by = False
-        self.found = trio.Event()
+        self.configured_event = trio.Event()
 
     def apply_configuration(self, stored):
         self.version = stored.version
-        self.found.set()
+        self.configured_event.set()
 
     def apply_evacuations(self, evacuations):
         self.evacuations = evacuations
@@ -144,11 +144,11 @@
         self.stands_by = stands_by
 
 
-def look(context, known, introduced=False, version=0):
-    state = Beliefs(version)
+def search_leader(context, known_hosts, is_announced=False, version=0):
+    state = StubNodeState(version)
 
     async def main():
-        with trio.fail_after(PATIENCE_S):
+        with trio.fail_after(TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 hosts = context.tier_hosts
                 for index in range(len(hosts)):
@@ -157,19 +157,19 @@
                 client = TierClient(
                     lambda: Join(me, "zone", "127.0.0.1:1", 1.0, None, version > 0),
                     lambda: Report(True, 0, None, [], 0),
-                    lambda: [one.place for one in hosts[:known]],
+                    lambda: [one.place for one in hosts[:known_hosts]],
                     state,
                     CODEC,
                     SECRET,
                 )
                 nursery.start_soon(client.run)
-                if introduced:
+                if is_announced:
                     client.add_leader_hint(hosts[-1].place)
                 if version:
-                    # Another round begins, so what came with the first one has been taken.
+                    # Wait for another round, so that the state from the first one is applied.
                     await trio.sleep(3 * tier_client.REDIAL_INTERVAL / SECOND)
                 else:
-                    await state.found.wait()
+                    await state.configured_event.wait()
                 context.configured = state.version
                 context.stands_by = state.stands_by
                 context.followed = client.leader
@@ -178,20 +178,20 @@
     trio.run(main)
 
 
-@when("a third host that knows both looks for the leader")
-def step_look(context):
-    look(context, known=len(context.tier_hosts))
+@when("a third host that knows both searches for the leader")
+def step_search(context):
+    search_leader(context, known_hosts=len(context.tier_hosts))
 
 
-@when("a third host that knows nobody is told of the leader")
-def step_told(context):
-    look(context, known=0, introduced=True)
+@when("a third host that knows no other host receives the leader's announcement")
+def step_announced(context):
+    search_leader(context, known_hosts=0, is_announced=True)
 
 
-@when("a third host that knows only the first, and asks once a minute, looks for the leader")
-def step_look_once(context):
+@when("a third host that knows only the first searches for the leader once a minute")
+def step_search_slowly(context):
     with patch.object(tier_client, "REDIAL_INTERVAL", 60 * SECOND):
-        look(context, known=1)
+        search_leader(context, known_hosts=1)
 
 
 @then("it follows the one that leads, and has its configuration")
@@ -200,28 +200,28 @@
     assert context.configured == VERSION
 
 
-@when("a third host that serves by a newer one looks for the leader")
-def step_look_newer(context):
-    look(context, known=len(context.tier_hosts), version=VERSION + 1)
+@when("a third host that has a newer one searches for the leader")
+def step_search_newer(context):
+    search_leader(context, known_hosts=len(context.tier_hosts), version=VERSION + 1)
 
 
-@then("it has that configuration, and goes on looking for a leader")
-def step_kept_taken(context):
+@then("it has that configuration, and continues to search for a leader")
+def step_retained_applied(context):
     assert context.configured == VERSION
     assert context.followed is None
 
 
-@then("it still serves by the newer one")
+@then("it still has the newer one")
 def step_newer(context):
     assert context.configured == VERSION + 1
 
 
-@then("it stands by, without a leader")
+@then("it is a standby host without a leader")
 def step_stands_by(context):
     assert context.followed is None
     assert context.stands_by
 
 
-@then("it does not stand by")
-def step_serves(context):
+@then("it is not a standby host")
+def step_active(context):
     assert not context.stands_by
--- a/features/steps/node_voters_steps.py
+++ b/features/steps/node_voters_steps.py
@@ -12,18 +12,18 @@
 from alderhatch.node.bootstrap import BootstrapCoordinator
 from alderhatch.node.tier_messages import DiskRecord, FoundingBid, Place
 from alderhatch.node.voter_plan import DiskHost, next_step, required_voters, voter_loss_timeout
-from features.support.voter_schedules import plays_well, schedules, successor_schedules
+from features.support.voter_schedules import keeps_majority, schedules, successor_schedules
 
 CATCH_UP = 4 * SECOND
-COPYING = (200.0, 800.0)
-"""How long a new member needs for the log, on a quick and on a slow disk."""
+COPY_TIMES = (200.0, 800.0)
+"""Time in milliseconds in which a new member copies the log, on a fast and on a slow disk."""
 
-SLOW_COPYING = (3000.0, 3400.0, 3800.0)
-"""The same where the disk is so slow that the host needs nearly all the time that it has."""
+SLOW_COPY_TIMES = (3000.0, 3400.0, 3800.0)
+"""The same on disks so slow that the copy takes nearly the whole catch-up time."""
 
 
 def members(text):
-    """``a1`` is host ``a`` under its first identity."""
+    """Return members by their IDs; ``a1`` is host ``a`` with its first member ID."""
     return tuple(Member(one, one[0], "10.0.0.1", 7380) for one in text.split())
 
 
@@ -44,32 +44,33 @@
 
 
 @given(
-    'voters that were not heard for {silent:g} s: "{lost}", where a new host has {catch_up:g} s to'
-    " catch up"
+    'voters that have been silent for {silent:g} s: "{lost}", where a new host has {catch_up:g} s'
+    " to catch up"
 )
 @given(
-    'voters that were not heard for {silent:g} s: "", where a new host has {catch_up:g} s to'
-    " catch up"
+    'voters that have been silent for {silent:g} s: "", where a new host has {catch_up:g} s'
+    " to catch up"
 )
-def step_lost(context, silent, catch_up, lost=""):
-    context.unheard = dict.fromkeys(lost.split(), silent * SECOND)
-    context.patience = voter_loss_timeout(catch_up * SECOND)
+def step_silence(context, silent, catch_up, lost=""):
+    context.silence = dict.fromkeys(lost.split(), silent * SECOND)
+    context.loss_timeout = voter_loss_timeout(catch_up * SECOND)
 
 
 @when(
-    "a host goes for good and then its successor, with {tolerated:d} lost at once, in every series"
+    "a host is lost for good and then its successor, with {tolerated:d} lost at once, "
+    "in every schedule"
 )
 @when(
-    "a host goes for good and then its successor, with {tolerated:d} lost at once, "
-    "in every {step:d}th series"
+    "a host is lost for good and then its successor, with {tolerated:d} lost at once, "
+    "in every {step:d}th schedule"
 )
 def step_successors(context, tolerated, step=1):
-    patience = voter_loss_timeout(CATCH_UP)
-    context.spoilt = [
-        (series, copying)
-        for series in successor_schedules(tolerated)[::step]
-        for copying in (*COPYING, *SLOW_COPYING)
-        if not plays_well(series, tolerated, patience, CATCH_UP, copying)
+    loss_timeout = voter_loss_timeout(CATCH_UP)
+    context.failures = [
+        (schedule, copy_time)
+        for schedule in successor_schedules(tolerated)[::step]
+        for copy_time in (*COPY_TIMES, *SLOW_COPY_TIMES)
+        if not keeps_majority(schedule, tolerated, loss_timeout, CATCH_UP, copy_time)
     ]
 
 
@@ -84,58 +85,58 @@
     assert [one.member_id for one in context.membership.learners] == names.split()
 
 
-@when("every {step:d}th series of {losses:d} losses is played with {tolerated:d} lost at once")
+@when("every {step:d}th schedule of {losses:d} losses is run with {tolerated:d} lost at once")
 def step_schedules(context, step, losses, tolerated):
-    patience = voter_loss_timeout(CATCH_UP)
-    context.spoilt = [
-        (series, copying)
-        for series in islice(schedules(tolerated, losses), 0, None, step)
-        for copying in COPYING
-        if not plays_well(series, tolerated, patience, CATCH_UP, copying)
+    loss_timeout = voter_loss_timeout(CATCH_UP)
+    context.failures = [
+        (schedule, copy_time)
+        for schedule in islice(schedules(tolerated, losses), 0, None, step)
+        for copy_time in COPY_TIMES
+        if not keeps_majority(schedule, tolerated, loss_timeout, CATCH_UP, copy_time)
     ]
 
 
 @then("each of them leaves a majority that can answer")
 def step_majority(context):
-    assert not context.spoilt, (len(context.spoilt), context.spoilt[:3])
+    assert not context.failures, (len(context.failures), context.failures[:3])
 
 
-@then('the next step of the members is "{expected}"')
+@then('the next membership step is "{expected}"')
 def step_next(context, expected):
     step = next_step(
         context.membership,
         context.disk_hosts,
         context.caught_up,
-        context.unheard,
+        context.silence,
         3,
-        context.patience,
+        context.loss_timeout,
     )
     match step:
         case None:
-            shown = "none"
+            actual = "none"
         case AddMember(name):
-            shown = f"add {name}"
+            actual = f"add {name}"
         case PromoteMember(name):
-            shown = f"promote {name}"
+            actual = f"promote {name}"
         case ReplaceMember(lost, successor):
-            shown = f"replace {lost} by {successor}"
+            actual = f"replace {lost} by {successor}"
         case RemoveMember(name):
-            shown = f"remove {name}"
-    assert shown == expected, shown
+            actual = f"remove {name}"
+    assert actual == expected, actual
 
 
 @then("for the loss of {lost:d} hosts at once {voters:d} voters are wanted")
-def step_wanted(context, lost, voters):
+def step_required(context, lost, voters):
     assert required_voters(lost) == voters
 
 
-@given("a judge of the founding")
-def step_judge(context):
+@given("a bootstrap coordinator")
+def step_coordinator(context):
     context.coordinator = BootstrapCoordinator()
 
 
 def bid_all(context, bids):
-    """Let hosts bid a tenth of a second apart, on a virtual clock."""
+    """Send the bids of hosts a tenth of a second apart, on a virtual clock."""
     context.verdicts = []
 
     async def bid(name, cluster, after):
@@ -162,18 +163,18 @@
     bid_all(context, [("a", ""), ("b", "cluster")])
 
 
-@then('all of them hear that "{name}" founds the log')
-def step_heard(context, name):
+@then('all of them get the verdict that "{name}" bootstraps the log')
+def step_verdict(context, name):
     assert set(context.verdicts) == {name}, context.verdicts
 
 
-@then("all of them hear that nobody founds the log")
-def step_heard_nobody(context):
+@then("all of them get the verdict that no host bootstraps the log")
+def step_no_verdict(context):
     assert set(context.verdicts) == {None}, context.verdicts
 
 
-@then('a host "{name}" that bids a minute later hears the same')
-def step_later(context, name):
+@then('a host "{name}" that bids a minute later gets the same verdict')
+def step_later_bid(context, name):
     before = set(context.verdicts)
     bid_all(context, [(name, "")])
     assert set(context.verdicts) == before, context.verdicts
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -8,55 +8,55 @@
 from features.support.tier import until
 
 
-def order(tier, index, method, zone, body=None):
+def send_directive(tier, index, method, zone, body=None):
     return tier.operate(index, method, body, f"/-/evacuation/{zone}")
 
 
-def accepted(tier, method, zone):
-    """Send an order to each host until it is acknowledged; return the last answer."""
+def send_until_accepted(tier, method, zone):
+    """Send a directive to each host until it is acknowledged; return the last answer."""
     answer = None
     for index in tier.running():
 
-        def taken(index=index):
-            found = order(tier, index, method, zone)
-            return found if found is not None and found.status == 200 else None
+        def accepted_answer(index=index):
+            response = send_directive(tier, index, method, zone)
+            return response if response is not None and response.status == 200 else None
 
-        answer = until(taken, f"node {index} has the order acknowledged")
+        answer = until(accepted_answer, f"node {index} acknowledges the directive")
     return answer
 
 
 @when('the zone "{zone}" is evacuated by each host in turn')
 def step_evacuate(context, zone):
-    context.answer = accepted(context.platform, "POST", zone)
+    context.answer = send_until_accepted(context.platform, "POST", zone)
 
 
 @when('the zone "{zone}" is used again by each host in turn')
 def step_use_again(context, zone):
-    context.answer = accepted(context.platform, "DELETE", zone)
+    context.answer = send_until_accepted(context.platform, "DELETE", zone)
 
 
 @when('the zones "{zones}" are evacuated')
 def step_evacuate_all(context, zones):
     for zone in zones.split():
-        context.answer = accepted(context.platform, "POST", zone)
+        context.answer = send_until_accepted(context.platform, "POST", zone)
 
 
-@then('the operator is told that "{zones}" are left')
-def step_left(context, zones):
+@then('the answer to the operator lists "{zones}" as left')
+def step_zones_left(context, zones):
     assert sorted(orjson.loads(context.answer.body)["left"]) == sorted(zones.split())
 
 
-@then('the operator is told that "" are left')
-def step_none_left(context):
-    step_left(context, "")
+@then('the answer to the operator lists "" as left')
+def step_no_zones_left(context):
+    step_zones_left(context, "")
 
 
 def servers_in(tier, zone):
     return [one for one in tier.servers.values() if one.zone == zone]
 
 
-def adopted(tier, zone):
-    """Return whether each host sends nothing to the zone now, tried with one query at each."""
+def sends_nothing_to(tier, zone):
+    """Return whether no host sends requests to the zone, tested with one query at each host."""
     for index in tier.running():
         before = sum(len(one.runs) for one in servers_in(tier, zone))
         tier.ask(index, "/paths/7", fresh_id())
@@ -66,9 +66,9 @@
 
 
 @then('no host sends anything to servers in "{zone}"')
-def step_nothing(context, zone):
+def step_no_requests(context, zone):
     tier = context.platform
-    until(lambda: adopted(tier, zone), "the order is in force at each host")
+    until(lambda: sends_nothing_to(tier, zone), "the directive is in force at each host")
     before = [len(one.runs) for one in servers_in(tier, zone)]
     for _ in range(5):
         for index in tier.running():
@@ -91,19 +91,19 @@
 
 
 @then('servers in "{zone}" get requests again')
-def step_again(context, zone):
+def step_requests_again(context, zone):
     tier = context.platform
 
-    def asked():
+    def gets_requests():
         before = [len(one.runs) for one in servers_in(tier, zone)]
         for index in tier.running():
             tier.ask(index, "/paths/7", fresh_id())
         return [len(one.runs) for one in servers_in(tier, zone)] != before
 
-    until(asked, "the zone's servers are asked")
+    until(gets_requests, "the zone's servers get requests")
 
 
-@then("each host refuses queries and orders as not run, with a time to come back")
+@then("each host refuses queries and orders as not run, with a Retry-After header")
 def step_refused(context):
     tier = context.platform
     for index in tier.running():
@@ -125,15 +125,15 @@
 def step_send(context, method, zone, body):
     tier = context.platform
     tier.leader()
-    context.answer = order(tier, 0, method, zone, b"{}" if body == "a body" else None)
+    context.answer = send_directive(tier, 0, method, zone, b"{}" if body == "a body" else None)
 
 
 @then('it is answered with {status:d}, naming "{field}", and no zone is evacuated')
 def step_answered(context, status, field):
     assert context.answer.status == status, context.answer
     assert orjson.loads(context.answer.body).get("field", "") == field
-    accepted(context.platform, "DELETE", ZONES[0])
-    left = orjson.loads(accepted(context.platform, "DELETE", ZONES[1]).body)["left"]
+    send_until_accepted(context.platform, "DELETE", ZONES[0])
+    left = orjson.loads(send_until_accepted(context.platform, "DELETE", ZONES[1]).body)["left"]
     assert sorted(left) == sorted(ZONES), left
 
 
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -54,24 +54,29 @@
     tier = context.platform
     for index in tier.running():
         until(lambda index=index: tier.is_ready(index), f"node {index} is ready")
-    all_named = {f"{tier.addresses[index]}:{tier.ports[0]}" for index in tier.running()}
+    all_addresses = {f"{tier.addresses[index]}:{tier.ports[0]}" for index in tier.running()}
     for index in tier.running():
-        until(lambda index=index: named(tier, index) == all_named, f"node {index} knows all")
+        until(
+            lambda index=index: advertised_hosts(tier, index) == all_addresses,
+            f"node {index} advertises all hosts",
+        )
 
 
-def named(tier, index, zone="elsewhere"):
+def advertised_hosts(tier, index, zone="elsewhere"):
     answer = tier.resolve(index, zone)
     return set(answer["addrs"]) if answer else None
 
 
-@then("each host names all 4 hosts to callers, and to those of a zone with two hosts only these")
+@then(
+    "each host advertises all 4 hosts to callers, and only the two hosts of a zone to its callers"
+)
 def step_named(context):
     tier = context.platform
-    # Hosts 0 and 3 are in the first zone, 1 and 2 alone in theirs.
+    # Hosts 0 and 3 are in the first zone; hosts 1 and 2 are alone in their zones.
     in_zone = {f"{tier.addresses[index]}:{tier.ports[0]}" for index in (0, 3)}
     for index in tier.running():
-        assert named(tier, index, ZONES[0]) == in_zone
-        assert len(named(tier, index, ZONES[1])) == 4
+        assert advertised_hosts(tier, index, ZONES[0]) == in_zone
+        assert len(advertised_hosts(tier, index, ZONES[1])) == 4
 
 
 @then("a query at each host gets the 4 greatest records of 3 shards with their seals")
@@ -104,7 +109,7 @@
         assert runs_of(tier, request_id) == 1
 
 
-def read_back(tier, index):
+def read_configuration(tier, index):
     answer = tier.operate(index, "GET")
     return answer.body if answer is not None and answer.status == 200 else None
 
@@ -113,8 +118,10 @@
 def step_read_back(context):
     tier = context.platform
     for index in tier.running():
-        found = until(lambda index=index: read_back(tier, index), "the configuration is read")
-        assert found == context.document, found
+        result = until(
+            lambda index=index: read_configuration(tier, index), "the configuration is read"
+        )
+        assert result == context.document, result
 
 
 @then("a request for a path without a route gets 404")
@@ -122,8 +129,10 @@
     assert context.platform.ask(0, "/nowhere/", fresh_id()).status == 404
 
 
-@then("the same configuration again, an older one, and another one of the same number are taken")
-def step_again(context):
+@then(
+    "the same configuration again, an older one, and another one of the same version are accepted"
+)
+def step_old_changes(context):
     tier = context.platform
     current = orjson.loads(context.document)
     other = current | {"routes": current["routes"][:1]}
@@ -132,7 +141,7 @@
         assert tier.put(orjson.dumps(document)).status == 200
 
 
-@then("an invalid configuration of a higher number is refused with 400 and changes nothing")
+@then("an invalid configuration of a higher version is refused with 400 and changes nothing")
 def step_invalid(context):
     tier = context.platform
     current = orjson.loads(context.document)
@@ -143,47 +152,53 @@
     step_read_back(context)
 
 
-def leading(tier):
+def wait_for_leader(tier):
     """Wait until a host leads, and return its index."""
-    # A host's index may be 0, which would not count as found.
-    found = until(lambda: [one for one in [tier.leader()] if one is not None], "a leader")
-    return found[0]
+    # The index is wrapped in a list because index 0 would count as not found.
+    result = until(lambda: [one for one in [tier.leader()] if one is not None], "a leader")
+    return result[0]
 
 
 @when("the leading host of the platform tier is killed")
 def step_kill_leader(context):
     tier = context.platform
-    context.gone = leading(tier)
-    tier.kill(context.gone)
+    context.lost = wait_for_leader(tier)
+    tier.kill(context.lost)
 
 
 @when("the leading host and another one with a disk are killed")
 def step_kill_majority(context):
     tier = context.platform
-    leader = leading(tier)
+    leader = wait_for_leader(tier)
     other = next(index for index in range(tier.disks) if index != leader)
-    context.gone_hosts = (leader, other)
+    context.lost_hosts = (leader, other)
     tier.kill(leader, other)
 
 
-@then("no host that is left names those that are gone")
-def step_gone_not_named(context):
+@then("no remaining host advertises the lost ones")
+def step_lost_not_advertised(context):
     tier = context.platform
-    gone = {f"{tier.addresses[index]}:{tier.ports[0]}" for index in context.gone_hosts}
+    lost = {f"{tier.addresses[index]}:{tier.ports[0]}" for index in context.lost_hosts}
     for index in tier.running():
-        until(lambda index=index: not gone & (named(tier, index) or gone), "they are not named")
+        until(
+            lambda index=index: not lost & (advertised_hosts(tier, index) or lost),
+            "the lost hosts are not advertised",
+        )
 
 
-@then("each host that is left names all that are left")
-def step_left_named(context):
+@then("each remaining host advertises all remaining hosts")
+def step_remaining_advertised(context):
     tier = context.platform
     left = {f"{tier.addresses[index]}:{tier.ports[0]}" for index in tier.running()}
     for index in tier.running():
-        until(lambda index=index: named(tier, index) == left, "they are named")
+        until(
+            lambda index=index: advertised_hosts(tier, index) == left,
+            "the remaining hosts are advertised",
+        )
 
 
-@then("a query at each host that is left is answered at once")
-def step_query_left(context):
+@then("a query at each remaining host is answered at once")
+def step_query_remaining(context):
     tier = context.platform
     for index in tier.running():
         assert tier.ask(index, "/paths/7", fresh_id()).status == 200
@@ -204,33 +219,39 @@
     step_read_back(context)
 
 
-@then("no host that is left names the one that is gone")
-def step_not_named(context):
+@then("no remaining host advertises the lost one")
+def step_lost_one_not_advertised(context):
     tier = context.platform
-    gone = f"{tier.addresses[context.gone]}:{tier.ports[0]}"
+    lost = f"{tier.addresses[context.lost]}:{tier.ports[0]}"
     for index in tier.running():
-        until(lambda index=index: gone not in (named(tier, index) or {gone}), "it is not named")
+        until(
+            lambda index=index: lost not in (advertised_hosts(tier, index) or {lost}),
+            "the lost host is not advertised",
+        )
 
 
 def step_all_voters(context):
-    """Wait until all hosts with a disk have a vote; note how often the one to be wiped got it."""
+    """Wait until all hosts with a disk are voters; count the promotions of the host to wipe."""
     tier = context.platform
 
-    def lines_with(text):
+    def count_lines_with(text):
         texts = [tier.log_text(index) for index in range(tier.disks)]
         return sum(
             1 for line in "\n".join(texts).splitlines() if text in line and "member_changed" in line
         )
 
-    until(lambda: lines_with("PromoteMember") == tier.disks - 1, "all have a vote")
-    context.promoted = lines_with(f"PromoteMember(name='node-{context.wiped}')")
+    until(
+        lambda: count_lines_with("PromoteMember") == tier.disks - 1,
+        "all hosts with a disk are voters",
+    )
+    context.promotions_before = count_lines_with(f"PromoteMember(name='node-{context.wiped}')")
 
 
 @when("a host that does not lead loses its disk and starts again")
 def step_lose_disk(context):
     tier = context.platform
     tier.first_start = False
-    leader = leading(tier)
+    leader = wait_for_leader(tier)
     context.wiped = next(index for index in range(tier.disks) if index != leader)
     step_all_voters(context)
     tier.kill(context.wiped)
@@ -247,8 +268,8 @@
         lines = [line for index in range(3) for line in tier.log_text(index).splitlines()]
         return sum(1 for line in lines if wanted in line and "member_changed" in line)
 
-    # The first time was when the tier was founded, unless this host founded the log itself.
-    until(lambda: promotions() > context.promoted, "the host with the new disk has a vote")
+    # The host was promoted once before, unless it bootstrapped the log itself.
+    until(lambda: promotions() > context.promotions_before, "the host with the new disk is a voter")
 
 
 @when("the seeds become the host without a disk, and all hosts are killed and start again")
@@ -261,10 +282,10 @@
 
 
 def in_background(function):
-    box = []
-    thread = threading.Thread(target=lambda: box.append(function()))
+    results = []
+    thread = threading.Thread(target=lambda: results.append(function()))
     thread.start()
-    return thread, box
+    return thread, results
 
 
 @when("a host is told to stop while an order runs on it")
@@ -274,16 +295,17 @@
         server.delay = 1.0
     context.stopping = 1
     request_id = fresh_id()
-    thread, box = in_background(lambda: tier.ask(1, "/orders/1", request_id, "POST", b"x"))
-    until(lambda: runs_of(tier, request_id) == 1, "the order runs")
+    thread, results = in_background(lambda: tier.ask(1, "/orders/1", request_id, "POST", b"x"))
+    until(lambda: runs_of(tier, request_id) == 1, "the order is running")
     context.process = tier.processes.pop(1)
     context.process.send_signal(signal.SIGTERM)
-    context.still_ready = until(lambda: not tier.is_ready(1), "readiness is gone")
-    context.named_after = until(
-        lambda: f"{tier.addresses[1]}:{tier.ports[0]}" not in (named(tier, 0) or set()), "not named"
+    context.is_unready = until(lambda: not tier.is_ready(1), "the host is not ready")
+    context.is_unadvertised = until(
+        lambda: f"{tier.addresses[1]}:{tier.ports[0]}" not in (advertised_hosts(tier, 0) or set()),
+        "the host is not advertised",
     )
     thread.join()
-    context.order = box[0]
+    context.order = results[0]
 
 
 @then("the order is answered in full, and the connection is closed with it")
@@ -292,9 +314,9 @@
     assert context.order.headers["connection"] == "close"
 
 
-@then("the host is not ready any more and is not named to callers")
-def step_left(context):
-    assert context.still_ready and context.named_after
+@then("the host is no longer ready and is not advertised to callers")
+def step_unready(context):
+    assert context.is_unready and context.is_unadvertised
 
 
 @then("it ends by itself with code 0 within its time")
@@ -302,22 +324,22 @@
     assert context.process.wait(timeout=60) == 0
 
 
-@when("the settings of a host are changed to nonsense and it gets SIGHUP")
-def step_hup(context):
+@when("the settings of a host are changed to invalid values and it receives SIGHUP")
+def step_reload(context):
     tier = context.platform
     tier.settings_path(0).write_text("bounds.grace-s=soon\n")
     tier.processes[0].send_signal(signal.SIGHUP)
 
 
-@then("it serves on and says that it refused the settings")
-def step_serves_on(context):
+@then("it keeps serving and logs that it refused the settings")
+def step_keeps_serving(context):
     tier = context.platform
     until(lambda: "settings_refused" in tier.log_text(0), "the refusal is logged")
     assert tier.ask(0, "/paths/7", fresh_id()).status == 200
 
 
-@when("a caller leaves 0.3 s after it has asked for an order that takes 5 s")
-def step_leave(context):
+@when("a caller disconnects 0.3 s after it has sent an order that takes 5 s")
+def step_disconnect(context):
     tier = context.platform
     for server in tier.servers.values():
         server.delay = 5.0
@@ -330,34 +352,37 @@
 def step_cancelled(context):
     tier = context.platform
     assert runs_of(tier, context.request_id) == 1
-    until(lambda: sum(one.cancelled for one in tier.servers.values()) == 1, "it is cancelled")
+    until(
+        lambda: sum(one.cancelled for one in tier.servers.values()) == 1,
+        "the order is cancelled at its server",
+    )
 
 
-GOOD_HEAD = f"GET /paths/7 HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: 1\r\n"
-BYTES = {
-    "a line of nonsense": "towels towels towels\r\n\r\n",
-    "two different lengths": f"{GOOD_HEAD}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
-    "a head of 40 KiB": f"{GOOD_HEAD}X: {'x' * 40_960}\r\n\r\n",
-    'a time left of "soon"': f"{GOOD_HEAD}Time-Budget-Ms: soon\r\n\r\n",
+REQUEST_HEAD = f"GET /paths/7 HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: 1\r\n"
+REQUESTS = {
+    "a malformed line": "towels towels towels\r\n\r\n",
+    "two different lengths": f"{REQUEST_HEAD}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+    "a head of 40 KiB": f"{REQUEST_HEAD}X: {'x' * 40_960}\r\n\r\n",
+    'a time left of "soon"': f"{REQUEST_HEAD}Time-Budget-Ms: soon\r\n\r\n",
 }
 
 
-@when("{what} are sent to the callers' port of a host")
-def step_bytes(context, what):
+@when("{kind} are sent to the callers' port of a host")
+def step_bytes(context, kind):
     tier = context.platform
     with socket.create_connection((tier.addresses[0], tier.ports[0]), timeout=20) as sock:
-        sock.sendall(BYTES[what].encode())
+        sock.sendall(REQUESTS[kind].encode())
         context.status_line = sock.recv(200).split(b"\r\n")[0]
 
 
-@then("it answers with {status:d} and serves on")
+@then("it answers with {status:d} and keeps serving")
 def step_bytes_answered(context, status):
     assert context.status_line.split()[1] == b"%d" % status, context.status_line
     assert context.platform.ask(0, "/paths/7", fresh_id()).status == 200
 
 
 @when("a query and an order were answered by a host")
-def step_both(context):
+def step_query_and_order(context):
     tier = context.platform
     assert tier.ask(0, "/paths/7", fresh_id()).status == 200
     assert tier.ask(0, "/orders/7", fresh_id(), "POST", b"x").status == 200
@@ -377,7 +402,7 @@
         assert sample in page, (sample, page)
 
 
-@then("its metrics page tells how long syncs and elections of the replicated log took")
+@then("its metrics page reports how long syncs and elections of the replicated log took")
 def step_log_metrics(context):
     tier = context.platform
     lines = call(tier.addresses[0], tier.ports[5], "GET", "/metrics").body.decode().splitlines()
@@ -386,13 +411,13 @@
         float(samples[f'alderhatch_node_log_{name}_total{{process="node-0"}}'])
         for name in ("syncs", "sync_seconds", "leaderless_seconds")
     )
-    # It has taken part in the founding and in one change at least.
+    # The host has stored at least its initial log state and one change.
     assert syncs >= 2, lines
     assert 0 < sync_time < syncs, lines
     assert 0 < leaderless < 60, lines
 
 
-LOADED_UNDER_SIGHUP = """
+SIGHUP_WHILE_LOADING = """
 import os, runpy, signal, sys
 
 class Probe:
@@ -405,26 +430,28 @@
 """
 
 
-@when("the node program gets SIGHUP as it loads its first library")
-def step_early_hang_up(context):
+@when("the node program receives SIGHUP while it loads its first library")
+def step_early_sighup(context):
     env = os.environ | {"ALDERHATCH_SETTINGS": "/nonexistent/settings.conf"}
-    command = [sys.executable, "-c", LOADED_UNDER_SIGHUP]
-    context.early = subprocess.run(command, env=env, capture_output=True, timeout=60, check=False)
+    command = [sys.executable, "-c", SIGHUP_WHILE_LOADING]
+    context.early_exit = subprocess.run(
+        command, env=env, capture_output=True, timeout=60, check=False
+    )
 
 
-@then("it goes on, and ends by what its settings say")
-def step_went_on(context):
-    assert context.early.returncode == 2, context.early
-    assert b"program_cannot_start" in context.early.stdout, context.early
+@then("it continues, and exits as its settings can't be read")
+def step_continued(context):
+    assert context.early_exit.returncode == 2, context.early_exit
+    assert b"program_cannot_start" in context.early_exit.stdout, context.early_exit
 
 
-def kept_file(tier, index):
+def checkpoint_file(tier, index):
     return tier.data_folder(index) / CHECKPOINT_NAME
 
 
 def kill_all(tier):
     for index in range(tier.disks):
-        until(kept_file(tier, index).exists, f"node {index} has kept its beliefs")
+        until(checkpoint_file(tier, index).exists, f"node {index} has written its checkpoint")
     tier.first_start = False
     tier.kill(*tier.running())
 
@@ -447,21 +474,25 @@
         until(lambda index=index: tier.is_ready(index), f"node {index} is ready")
 
 
-@when("all hosts are killed, the kept beliefs of each become {what}, and all start again")
-def step_spoilt_beliefs(context, what):
+@when("all hosts are killed, the checkpoint of each becomes {kind}, and all start again")
+def step_corrupt_checkpoint(context, kind):
     tier = context.platform
     kill_all(tier)
     for index in range(tier.disks):
-        data = kept_file(tier, index).read_bytes()
-        spoilt = {"empty": b"", "nonsense": b"\xff" * 40, "half of them": data[: len(data) // 2]}
-        kept_file(tier, index).write_bytes(spoilt[what])
+        data = checkpoint_file(tier, index).read_bytes()
+        corrupted = {
+            "empty": b"",
+            "invalid bytes": b"\xff" * 40,
+            "its first half": data[: len(data) // 2],
+        }
+        checkpoint_file(tier, index).write_bytes(corrupted[kind])
     tier.start()
 
 
-@then("it names itself to callers")
-def step_names_itself(context):
+@then("it advertises itself to callers")
+def step_advertises_itself(context):
     tier = context.platform
-    assert f"{tier.addresses[0]}:{tier.ports[0]}" in named(tier, 0)
+    assert f"{tier.addresses[0]}:{tier.ports[0]}" in advertised_hosts(tier, 0)
 
 
 @then("a change and a read of the configuration are answered with 503")
@@ -471,27 +502,27 @@
     assert tier.operate(0, "PUT", tier.configuration(SHARDS)).status == 503
 
 
-@given("kept beliefs on a disk that answers after {seconds:d} s")
+@given("a checkpoint on a disk that answers after {seconds:d} s")
 def step_hanging_disk(context, seconds):
     context.released = threading.Event()
     context.add_cleanup(context.released.set)
-    context.hangs_for = seconds
+    context.hang_time_s = seconds
     context.has_answered = False
 
 
-@when("a host restores its beliefs")
+@when("a host restores its checkpoint")
 def step_restore(context):
     def read(folder):
-        context.released.wait(context.hangs_for)
+        context.released.wait(context.hang_time_s)
         context.has_answered = True
 
     async def restore():
-        keeper = CheckpointStore(Path("nowhere"), None, read)
-        await keeper.restore()
+        store = CheckpointStore(Path("nowhere"), None, read)
+        await store.restore()
 
     trio.run(restore)
 
 
-@then("it goes on without them before the disk has answered")
-def step_goes_on(context):
+@then("it continues without the checkpoint before the disk has answered")
+def step_continues(context):
     assert not context.has_answered
--- a/features/steps/platform_soak_steps.py
+++ b/features/steps/platform_soak_steps.py
@@ -5,7 +5,7 @@
 from features.support.platform_soak import PlatformSoak
 
 
-@given("a platform tier of 4 hosts whose servers are reached through a harmful network")
+@given("a platform tier of 4 hosts whose servers are reached through a faulty network")
 def step_tier(context):
     context.make_soak = lambda seed, seconds: PlatformSoak(context, seed, seconds)
 
@@ -16,6 +16,6 @@
     context.soak.run()
 
 
-@then("no promise was broken")
+@then("no violation was found")
 def step_kept(context):
     assert not context.soak.findings, context.soak.findings
--- a/features/steps/tier_size_steps.py
+++ b/features/steps/tier_size_steps.py
@@ -10,9 +10,9 @@
 from alderhatch.node import tier_server
 from alderhatch.node.leader_search import LeaderSearch
 from alderhatch.node.tier_messages import Place, TierView
-from features.support.tier_hosts import CODEC, CONNECTIONS, TierOfHosts, most_bytes, server_list
+from features.support.tier_hosts import CODEC, CONNECTIONS, TierOfHosts, max_bytes_sent, server_list
 
-KB = 1024
+KIB = 1024
 
 
 @given("a leader before {hosts:d} hosts")
@@ -21,12 +21,14 @@
     context.script = []
 
 
-@given("a leader before {hosts:d} hosts, which followed another one until now")
+@given("a leader before {hosts:d} hosts, which followed another leader until now")
 def step_new_leader(context, hosts):
     step_new_leader_of_more(context, hosts, 0)
 
 
-@given("a leader before {hosts:d} hosts, which followed another one with {more:d} more until now")
+@given(
+    "a leader before {hosts:d} hosts, which followed another leader with {more:d} more until now"
+)
 def step_new_leader_of_more(context, hosts, more):
     context.tier = TierOfHosts(hosts, previous_host_count=hosts + more)
     context.script = []
@@ -55,25 +57,25 @@
     context.script.append(change)
 
 
-@when("the leader's process stands still for {span:d} ms")
+@when("the leader's process stalls for {span:d} ms")
 def step_stall(context, span):
     async def stall(tier):
-        # What is due while the clock jumps runs afterwards, the watch first.
+        # Tasks that become due during the jump run after it, the session watch first.
         trio.lowlevel.current_clock().jump(span / SECOND)
 
     context.script.append(stall)
 
 
-@when("host {index:d} says nothing more")
+@when("host {index:d} sends no more reports")
 def step_silent(context, index):
     async def silence(tier):
-        tier.hosts[index].link.say = lambda message: None
+        tier.hosts[index].link.queue_message = lambda message: None
 
     context.script.append(silence)
 
 
-def played(context):
-    """Return the tier after what the steps told; it is played once."""
+def tier_after_script(context):
+    """Return the tier after the steps of the scenario; they run only once."""
     if context.script:
         encoded = context.encoded = []
         encode = CODEC.encode
@@ -89,66 +91,66 @@
 
         with patch.object(CODEC, "encode", count):
             context.tier.server._updates._encode = count
-            context.tier.play(script)
+            context.tier.run_script(script)
         context.script = []
     return context.tier
 
 
-@then("every host was told at most {kilobytes:d} KB")
+@then("every host was sent at most {kilobytes:d} KB")
 def step_bytes(context, kilobytes):
-    most = most_bytes(played(context))
-    assert most <= kilobytes * KB, most
+    max_bytes = max_bytes_sent(tier_after_script(context))
+    assert max_bytes <= kilobytes * KIB, max_bytes
 
 
-@then("every host names the same hosts to callers")
-def step_names(context):
-    named = set()
-    for host in played(context).hosts:
-        view = host.heard(TierView)[-1]
+@then("every host advertises the same hosts to callers")
+def step_advertised(context):
+    advertised = set()
+    for host in tier_after_script(context).hosts:
+        view = host.received(TierView)[-1]
         chosen = choose_caller_hosts(view.hosts, CONNECTIONS, view.processor_needed)
-        named.add(tuple(one.name for one in chosen))
-    assert len(named) == 1 and len(next(iter(named))) >= 4, named
+        advertised.add(tuple(one.name for one in chosen))
+    assert len(advertised) == 1 and len(next(iter(advertised))) >= 4, advertised
 
 
-@then("the leader has encoded at most {messages:d} messages of news")
+@then("the leader has encoded at most {messages:d} update messages")
 def step_encoded(context, messages):
-    played(context)
-    news = [one for one in context.encoded if type(one) is not tier_server.Pulse]
-    assert len(news) <= messages, len(news)
+    tier_after_script(context)
+    updates = [one for one in context.encoded if type(one) is not tier_server.Pulse]
+    assert len(updates) <= messages, len(updates)
 
 
 @then("{count:d} hosts follow the leader")
 def step_followers(context, count):
-    played(context)
+    tier_after_script(context)
     assert context.followers == count, context.followers
 
 
-@then("host {index:d} is not named to callers")
-def step_not_named(context, index):
-    view = played(context).hosts[0].heard(TierView)[-1]
+@then("host {index:d} is not advertised to callers")
+def step_not_advertised(context, index):
+    view = tier_after_script(context).hosts[0].received(TierView)[-1]
     assert context.tier.hosts[index].name not in [one.name for one in view.hosts]
 
 
-@then("no host was told of fewer than {count:d} hosts")
-def step_told_many(context, count):
-    for host in played(context).hosts:
-        views = host.heard(TierView)
+@then("no host was sent a view of fewer than {count:d} hosts")
+def step_min_view(context, count):
+    for host in tier_after_script(context).hosts:
+        views = host.received(TierView)
         assert views and all(len(view.hosts) >= count for view in views)
 
 
-@then("every host was told of {count:d} hosts")
-def step_told_of(context, count):
-    for host in played(context).hosts:
-        assert [len(view.hosts) for view in host.heard(TierView)][-1:] == [count]
+@then("every host was sent a view of {count:d} hosts")
+def step_last_view(context, count):
+    for host in tier_after_script(context).hosts:
+        assert [len(view.hosts) for view in host.received(TierView)][-1:] == [count]
 
 
-@given("a host that looks for the leader among {count:d} hosts")
+@given("a host that searches for the leader among {count:d} hosts")
 def step_search(context, count):
     context.places = [Place(f"host-{index}", f"10.0.0.{index}", 1) for index in range(count)]
     context.search = LeaderSearch()
 
 
-async def ask_round(search, places, unanswered):
+async def query_round(search, places, unanswered):
     search.begin_round(places)
     for index in range(len(places)):
         place = search.next_place()
@@ -164,15 +166,15 @@
 @when("{unanswered:d} of them don't answer in {rounds:d} rounds")
 def step_rounds(context, unanswered, rounds):
     for _ in range(rounds):
-        trio.run(ask_round, context.search, context.places, unanswered)
+        trio.run(query_round, context.search, context.places, unanswered)
 
 
-@then("it asks {backoff_factor:d} times less often")
-def step_slowness(context, backoff_factor):
+@then("its backoff factor is {backoff_factor:d}")
+def step_backoff(context, backoff_factor):
     assert context.search.backoff_factor == backoff_factor, context.search.backoff_factor
 
 
-@then("after a round in which all answer it asks as often as at first")
-def step_fast_again(context):
-    trio.run(ask_round, context.search, context.places, 0)
+@then("after a round in which all answer its backoff factor is 1 again")
+def step_backoff_reset(context):
+    trio.run(query_round, context.search, context.places, 0)
     assert context.search.backoff_factor == 1
--- a/features/support/platform_tier.py
+++ b/features/support/platform_tier.py
@@ -1,4 +1,4 @@
-"""The real node program on loopback, with a stand-in of the users' platform round it."""
+"""Real node processes on loopback, with a stand-in for the platform's server list and servers."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 ZONES = ("austin-hall", "waco-hall", "temple-hall")
 HOST = "fleet.example"
-PAGE = 3
-RECORD = 16
+PAGE_SIZE = 3
+RECORD_BYTES = 16
 
 
 class Answer(NamedTuple):
@@ -34,13 +34,13 @@
 
 
 def call(address, port, method, path, body=None, headers=None, timeout=10.0):
-    """One exchange; None if nothing listens, or the connection breaks or is too slow."""
+    """Send one request; return None if the connection fails or times out."""
     conn = HTTPConnection(address, port, timeout=timeout)
     try:
         conn.request(method, path, body, headers or {})
         answer = conn.getresponse()
-        names = {name.lower(): value for name, value in answer.getheaders()}
-        return Answer(answer.status, names, answer.read())
+        lower_case_headers = {name.lower(): value for name, value in answer.getheaders()}
+        return Answer(answer.status, lower_case_headers, answer.read())
     except (OSError, HTTPException):
         return None
     finally:
@@ -48,7 +48,7 @@
 
 
 class StandinServer:
-    """One server of an upstream."""
+    """A stand-in for one server of an upstream."""
 
     def __init__(self, server_id, upstream, zone):
         self.server_id = server_id
@@ -61,7 +61,7 @@
         self.cancelled = 0
         self.state = "ready"
         self.proxy = None
-        """What the list names instead of the server itself, if anything."""
+        """The proxy that the server list names instead of the server; None without a proxy."""
 
     async def serve(self, task_status):
         listeners = await trio.open_tcp_listeners(0, host=self.address)
@@ -89,10 +89,10 @@
         return b"".join(f"{self.upstream:>12}{number:04}".encode() for number in range(3))
 
     def entry(self):
-        at = self.proxy or self
+        endpoint = self.proxy or self
         return {
             "service": self.upstream,
-            "address": f"{at.address}:{at.port}",
+            "address": f"{endpoint.address}:{endpoint.port}",
             "zone": self.zone,
             "version": "v1",
             "max-concurrency": 2,
@@ -103,7 +103,7 @@
 
 
 class PlatformTier:
-    """Nodes as processes, and in a thread the list and the upstreams' servers."""
+    """Node processes, and a thread that runs the server list and the servers."""
 
     def __init__(self, context, disks=3, diskless=1):
         self.folder = Path(tempfile.mkdtemp(prefix="alderhatch-node-"))
@@ -112,7 +112,7 @@
         self.servers = {}
         self.list_calls = 0
         self.list_address = own_loopback_address()
-        self.list_port = self.loop.call(self._open_list)
+        self.list_port = self.loop.call(self._start_list_server)
         self.addresses = [own_loopback_address() for _ in range(disks + diskless)]
         self.disks = disks
         self.ports = self._free_ports()
@@ -121,29 +121,29 @@
         self.version = 0
         self.first_start = True
         self.policy = ""
-        """Numbers of the policy that differ from the platform's."""
+        """Policy settings that differ from the defaults of the platform."""
 
     def _free_ports(self):
-        """The metrics are on the port behind that for links, which must be none of the others."""
+        """Return the ports; the metrics port follows the link port and must not be another one."""
         while True:
             ports = free_ports(self.addresses[0], 5)
             if ports[-1] + 1 not in (*ports, 65_536):
                 return [*ports, ports[-1] + 1]
 
-    # The platform's list and servers
+    # The platform's server list and servers
 
-    async def _open_list(self):
+    async def _start_list_server(self):
         listeners = await trio.open_tcp_listeners(0, host=self.list_address)
-        self.loop.nursery.start_soon(serve_http, listeners, self._list)
+        self.loop.nursery.start_soon(serve_http, listeners, self._serve_list)
         return listeners[0].socket.getsockname()[1]
 
-    async def _list(self, req):
+    async def _serve_list(self, req):
         self.list_calls += 1
         entries = [one.entry() for one in self.servers.values()] + ["not an entry"]
         begin = int(req.query.get("page-token", "0"))
-        end = begin + PAGE
-        following = str(end) if end < len(entries) else None
-        return json_response(200, {"instances": entries[begin:end], "next-token": following})
+        end = begin + PAGE_SIZE
+        next_token = str(end) if end < len(entries) else None
+        return json_response(200, {"instances": entries[begin:end], "next-token": next_token})
 
     def add_servers(self, upstream, count=2):
         for index in range(count):
@@ -207,7 +207,7 @@
         return sorted(self.processes)
 
     def check_alive(self, *indexes):
-        """Fail with a process's own words if it has ended; a wait for it would last for minutes."""
+        """Fail with the log of a process that has ended, as waiting for it would take minutes."""
         for index in indexes or self.running():
             process = self.processes.get(index)
             if process is not None and process.poll() not in (
@@ -216,8 +216,8 @@
                 -signal.SIGKILL,
                 -signal.SIGTERM,
             ):
-                words = self.log_text(index)[-2000:]
-                raise AssertionError(f"node {index} ended with {process.returncode}:\n{words}")
+                log_tail = self.log_text(index)[-2000:]
+                raise AssertionError(f"node {index} ended with {process.returncode}:\n{log_tail}")
 
     def log_text(self, index):
         return (self.folder / f"node-{index}.log").read_text()
@@ -229,7 +229,7 @@
         self.loop.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # Calls
+    # Requests
 
     def configuration(self, shards, single="kitchen"):
         self.version += 3
@@ -256,7 +256,7 @@
         )
 
     def operate(self, index, method, body=None, path="/-/config"):
-        """One call of an operator, who follows two redirects."""
+        """Send one operator request, following up to two redirects."""
         address, port = self.addresses[index], self.ports[3]
         answer = None
         for _ in range(3):
@@ -268,17 +268,17 @@
         return answer
 
     def put(self, document):
-        """Send a configuration to one running node after the other until one accepts it."""
+        """Send a configuration to the running nodes in turn until one accepts it."""
 
-        def accepted():
+        def accepted_response():
             self.check_alive()
             answers = (self.operate(index, "PUT", document) for index in self.running())
             return next((one for one in answers if one is not None and one.status == 200), None)
 
-        return until(accepted, "an operator's change is accepted")
+        return until(accepted_response, "an operator's change is accepted")
 
     def leader(self):
-        """The node that takes changes itself, or None."""
+        """Return the index of the node that answers operators itself, or None."""
         for index in self.running():
             answer = call(self.addresses[index], self.ports[3], "GET", "/-/config")
             if answer is not None and answer.status == 200:
--- a/features/support/tier_hosts.py
+++ b/features/support/tier_hosts.py
@@ -1,4 +1,4 @@
-"""A leader with any number of hosts that follow it, in virtual time and without sockets."""
+"""A leader and any number of hosts that follow it, in virtual time and without sockets."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from alderhatch.node.tier_server import TierServer
 
 CODEC = Codec(*TIER_MESSAGE_TYPES)
-REPORT_EVERY = 500.0
+REPORT_INTERVAL_MS = 500.0
 CONNECTIONS = 100
-"""What each server accepts from all hosts together."""
+"""Connections that each server accepts from all hosts together."""
 MAX_QUEUED = 1000
-STRONG = 1.4
-WEAK = 0.5
+STRONG_HOST_PROCESSOR = 1.4
+WEAK_HOST_PROCESSOR = 0.5
 
 
 class HostLink:
@@ -32,31 +32,31 @@
 
     def __init__(self):
         self._send, self._receive = trio.open_memory_channel(MAX_QUEUED)
-        self.heard = []
+        self.received = []
         """Every message that the leader sent, decoded."""
-        self.heard_bytes = 0
+        self.received_bytes = 0
         self.closed = trio.Event()
 
     async def receive(self):
         try:
             return await self._receive.receive()
         except trio.EndOfChannel as exc:
-            raise LinkClosedError("the host has gone") from exc
+            raise LinkClosedError("the host closed the link") from exc
 
     async def send(self, message):
         await self.send_encoded(CODEC.encode(message))
 
     async def send_encoded(self, data):
         await trio.lowlevel.checkpoint()
-        self.heard.append(CODEC.decode(data))
-        self.heard_bytes += len(data)
+        self.received.append(CODEC.decode(data))
+        self.received_bytes += len(data)
 
-    def say(self, message):
-        """Let the host say something."""
+    def queue_message(self, message):
+        """Queue a message from the host to the leader."""
         self._send.send_nowait(message)
 
-    def hang_up(self):
-        """Let the host go."""
+    def close_link(self):
+        """Close the host's end of the link."""
         self._send.close()
 
 
@@ -65,24 +65,24 @@
 
     def __init__(self, index, strong):
         self.name = f"host-{index:04}"
-        self.processor = STRONG if strong else WEAK
+        self.processor = STRONG_HOST_PROCESSOR if strong else WEAK_HOST_PROCESSOR
         self.zone = f"zone-{index % 3}"
         self.link = HostLink()
         self.serving = False
         self.wants_servers = False
 
     def join(self):
-        """Return its first message."""
+        """Return the host's first message."""
         place = Place(self.name, f"10.0.{self.name[-4:]}", 1)
         return Join(place, self.zone, f"{place.address}:2", self.processor, None, False)
 
     def report(self):
-        """Return what it says again and again."""
+        """Return the host's periodic report."""
         return Report(self.serving, 1, None, [], 0, self.wants_servers)
 
-    def heard(self, kind):
-        """Return what the leader said of one kind."""
-        return [one for one in self.link.heard if isinstance(one, kind)]
+    def received(self, kind):
+        """Return the received messages of one type."""
+        return [one for one in self.link.received if isinstance(one, kind)]
 
 
 class TierOfHosts:
@@ -90,8 +90,8 @@
 
     Args:
         hosts: How many hosts there are.
-        strong: How many of them are strong.
-        alive_before: How many hosts followed the last leader.
+        strong: How many of them have the processor time of a strong host.
+        previous_host_count: How many hosts followed the last leader.
     """
 
     def __init__(self, hosts, strong=5, previous_host_count=0):
@@ -105,13 +105,15 @@
             lambda: Redirect(None, []),
             lambda name: None,
             lambda leader: None,
-            lambda some, needed: choose_caller_hosts(some, CONNECTIONS, needed),
+            lambda hosts_to_choose, needed: choose_caller_hosts(
+                hosts_to_choose, CONNECTIONS, needed
+            ),
             lambda: previous_host_count,
             CODEC,
         )
         self.nursery = None
 
-    def play(self, script):
+    def run_script(self, script):
         """Run a coroutine function of this tier in virtual time."""
 
         async def main():
@@ -124,9 +126,9 @@
         trio.run(main, clock=MockClock(autojump_threshold=0))
 
     async def join_all(self, within):
-        """Let all hosts join, evenly spread over a span in milliseconds."""
+        """Let all hosts join, evenly spread over ``within`` milliseconds."""
         for host in self.hosts:
-            host.link.say(host.join())
+            host.link.queue_message(host.join())
             self.nursery.start_soon(self._serve, host)
             self.nursery.start_soon(self._report, host)
             await trio.sleep(within / len(self.hosts) / SECOND)
@@ -137,16 +139,16 @@
 
     async def _report(self, host):
         while not host.link.closed.is_set():
-            host.link.say(host.report())
-            await trio.sleep(REPORT_EVERY / SECOND)
+            host.link.queue_message(host.report())
+            await trio.sleep(REPORT_INTERVAL_MS / SECOND)
 
     def followers(self):
-        """Return how many hosts the leader counts."""
+        """Return how many hosts follow the leader."""
         return sum(not host.link.closed.is_set() for host in self.hosts)
 
 
 def server_list(servers, named="server"):
-    """Return a list of so many servers."""
+    """Return the records of so many servers by ID."""
     records = [
         ServerRecord(f"{named}-{index}", f"shard-{index // 2}", "10.1.0.1", 80, "zone-0", 2, False)
         for index in range(servers)
@@ -154,6 +156,6 @@
     return {record.server_id: record for record in records}
 
 
-def most_bytes(tier):
-    """Return the most bytes that any host was sent."""
-    return max((host.link.heard_bytes for host in tier.hosts), default=-math.inf)
+def max_bytes_sent(tier):
+    """Return the largest number of bytes that any host was sent."""
+    return max((host.link.received_bytes for host in tier.hosts), default=-math.inf)
