--- a/features/hand_over.feature
+++ b/features/hand_over.feature
@@ -102,7 +102,7 @@
 
   Scenario Outline: Who stands by
     # Guards against a small tier whose hosts can't take each other's place at once.
-    Given a leader before <hosts> hosts
+    Given a leader with <hosts> hosts
     When all of them join within 1000 ms, and serve callers from then on
     And 3 seconds pass
     Then at least <least> and at most <most> hosts were told the list of servers
@@ -117,7 +117,7 @@
 
   Scenario: A host that stands by and reaches nobody gets the list of servers
     # Guards against a host that refuses its callers for good when those that serve are gone.
-    Given a leader before 100 hosts
+    Given a leader with 100 hosts
     When all of them join within 1000 ms, and serve callers from then on
     And 2 seconds pass
     And the last host asks for the list of servers
--- a/features/node_voters.feature
+++ b/features/node_voters.feature
@@ -3,7 +3,7 @@
   Scenario Outline: The next membership change
     # Hosts with a disk join, disappear or return with an empty disk. No operator declares this; the
     # log has to have enough voters again before the next loss.
-    Given a log with voters "<voters>" and learners "<learners>" that wants 3 voters
+    Given a log with voters "<voters>" and learners "<learners>" that requires 3 voters
     And live disk hosts "<hosts>", of which "<caught up>" have caught up
     And voters that have been silent for 2 s: "<lost>", where a new host has 4 s to catch up
     Then the next membership step is "<step>"
@@ -29,7 +29,7 @@
     # A returning host has <catch_up> s to catch up, and only then may another one be lost. If the
     # voter were replaced later, the log could lose its majority. After a shorter silence the host
     # may only have been restarted.
-    Given a log with voters "a1 b1 c1" and learners "d1" that wants 3 voters
+    Given a log with voters "a1 b1 c1" and learners "d1" that requires 3 voters
     And live disk hosts "a1 b1 d1", of which "d" have caught up
     And voters that have been silent for <silent> s: "c", where a new host has <catch_up> s to catch up
     Then the next membership step is "<step>"
@@ -45,7 +45,7 @@
   Scenario: A spare that lost its disk is a member once
     # Its old member ID can never answer again. If it stayed a learner beside the new one, it could
     # be promoted instead, and the log would have a voter that does not exist.
-    Given a log with voters "a1 b1 c1" and learners "d1" that wants 3 voters
+    Given a log with voters "a1 b1 c1" and learners "d1" that requires 3 voters
     When the learner "d2" is added
     Then the learners are "d2"
 
@@ -79,7 +79,7 @@
     Then each of them leaves a majority that can answer
 
   Scenario Outline: How many voters survive a loss
-    Then for the loss of <lost> hosts at once <voters> voters are wanted
+    Then for the loss of <lost> hosts at once <voters> voters are required
 
     Examples:
       | lost | voters |
--- a/features/platform_node.feature
+++ b/features/platform_node.feature
@@ -1,6 +1,6 @@
 Feature: The node program on the platform
 
-  Scenario: A tier starts, takes a configuration and serves
+  Scenario: A tier starts, accepts a configuration and serves
     # Four hosts start at once, three of them with an empty disk. They know only three seeds.
     Given a platform tier of 3 hosts with a disk and 1 without, with servers of 3 shards
     When an operator sends a configuration
@@ -97,7 +97,7 @@
     When a host is told to stop while an order runs on it
     Then the order is answered in full, and the connection is closed with it
     And the host is no longer ready and is not advertised to callers
-    And it ends by itself with code 0 within its time
+    And it exits with code 0 within its time limit
 
   Scenario: Settings change while the host runs
     # By default SIGHUP ends a process.
@@ -124,7 +124,7 @@
 
     Examples:
       | bytes                   | status |
-      | a malformed line      | 400    |
+      | a malformed line        | 400    |
       | two different lengths   | 400    |
       | a head of 40 KiB        | 413    |
       | a time left of "soon"   | 400    |
--- a/features/steps/node_voters_steps.py
+++ b/features/steps/node_voters_steps.py
@@ -27,8 +27,8 @@
     return tuple(Member(one, one[0], "10.0.0.1", 7380) for one in text.split())
 
 
-@given('a log with voters "{voters}" and learners "{learners}" that wants 3 voters')
-@given('a log with voters "{voters}" and learners "" that wants 3 voters')
+@given('a log with voters "{voters}" and learners "{learners}" that requires 3 voters')
+@given('a log with voters "{voters}" and learners "" that requires 3 voters')
 def step_log(context, voters, learners=""):
     context.membership = Membership(members(voters), members(learners))
 
@@ -125,7 +125,7 @@
     assert actual == expected, actual
 
 
-@then("for the loss of {lost:d} hosts at once {voters:d} voters are wanted")
+@then("for the loss of {lost:d} hosts at once {voters:d} voters are required")
 def step_required(context, lost, voters):
     assert required_voters(lost) == voters
 
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -319,7 +319,7 @@
     assert context.is_unready and context.is_unadvertised
 
 
-@then("it ends by itself with code 0 within its time")
+@then("it exits with code 0 within its time limit")
 def step_ended(context):
     assert context.process.wait(timeout=60) == 0
 
--- a/features/steps/tier_size_steps.py
+++ b/features/steps/tier_size_steps.py
@@ -15,20 +15,18 @@
 KIB = 1024
 
 
-@given("a leader before {hosts:d} hosts")
+@given("a leader with {hosts:d} hosts")
 def step_leader(context, hosts):
     context.tier = TierOfHosts(hosts)
     context.script = []
 
 
-@given("a leader before {hosts:d} hosts, which followed another leader until now")
+@given("a leader with {hosts:d} hosts, which followed another leader until now")
 def step_new_leader(context, hosts):
     step_new_leader_of_more(context, hosts, 0)
 
 
-@given(
-    "a leader before {hosts:d} hosts, which followed another leader with {more:d} more until now"
-)
+@given("a leader with {hosts:d} hosts, which followed another leader with {more:d} more until now")
 def step_new_leader_of_more(context, hosts, more):
     context.tier = TierOfHosts(hosts, previous_host_count=hosts + more)
     context.script = []
--- a/features/support/voter_schedules.py
+++ b/features/support/voter_schedules.py
@@ -22,7 +22,7 @@
 SESSION_TIMEOUT_MS = 1600.0
 """How long the leader still counts a lost host as live."""
 RESPONSE_TIMEOUT_MS = 500.0
-"""How long it still counts a lost member of the log as responsive."""
+"""How long the leader still counts a lost member of the log as responsive."""
 MIN_WAIT_MS = 100.0
 """Least time between the end of one loss and the next loss."""
 SETTLE_TIME_MS = 8 * SECOND
@@ -167,9 +167,9 @@
             sum(1 for one in membership.voter_ids if one in responsive_ids) >= membership.majority
         )
 
-    def _counts_as_live(self, host, silence):
+    def _counts_as_live(self, host, timeout):
         """Return whether the leader counts a host as live, even if it was lost just now."""
-        return host.last_live_at is not None and self.now - host.last_live_at < silence
+        return host.last_live_at is not None and self.now - host.last_live_at < timeout
 
     def _update_responses(self):
         responsive_ids = {
--- a/features/tier_size.feature
+++ b/features/tier_size.feature
@@ -2,7 +2,7 @@
 
   Scenario Outline: Many hosts join together
     # Guards against a start of hundreds of hosts in which each is sent all others on each change.
-    Given a leader before <hosts> hosts
+    Given a leader with <hosts> hosts
     When all of them join within 1000 ms, and serve callers from then on
     And 10 seconds pass
     Then every host was sent at most 16 KB
@@ -18,7 +18,7 @@
 
   Scenario Outline: A change is encoded once for all hosts
     # Guards against a leader that is busy encoding updates while its callers wait.
-    Given a leader before <hosts> hosts
+    Given a leader with <hosts> hosts
     When all of them join within 1000 ms, and serve callers from then on
     And the list of 800 servers changes 5 times, 900 ms apart
     Then the leader has encoded at most <messages> update messages
@@ -30,7 +30,7 @@
 
   Scenario: A leader that stalled keeps its hosts
     # Guards against a leader that drops all hosts because it was too busy to read their reports.
-    Given a leader before 50 hosts
+    Given a leader with 50 hosts
     When all of them join within 1000 ms, and serve callers from then on
     And the leader's process stalls for 3000 ms
     And 2 seconds pass
@@ -38,7 +38,7 @@
 
   Scenario: A silent host is dropped
     # Guards against callers that are sent to a host that has stopped responding.
-    Given a leader before 50 hosts
+    Given a leader with 50 hosts
     When all of them join within 1000 ms, and serve callers from then on
     And host 3 sends no more reports
     And 3 seconds pass
@@ -47,14 +47,14 @@
 
   Scenario: A new leader waits for the hosts of the last one
     # Guards against sending all callers to the few hosts that were first to find a new leader.
-    Given a leader before 30 hosts, which followed another leader until now
+    Given a leader with 30 hosts, which followed another leader until now
     When all of them join within 400 ms, and serve callers from then on
     And 5 seconds pass
     Then no host was sent a view of fewer than 16 hosts
 
   Scenario: A new leader does not wait for lost hosts
     # Guards against sending callers to hosts that were lost together with the last leader.
-    Given a leader before 10 hosts, which followed another leader with 20 more until now
+    Given a leader with 10 hosts, which followed another leader with 20 more until now
     When all of them join within 400 ms, and serve callers from then on
     And 1 second passes
     Then every host was sent a view of 10 hosts
--- a/src/alderhatch/node/control_member.py
+++ b/src/alderhatch/node/control_member.py
@@ -108,8 +108,8 @@
             self._role_changed,
             silent_since=self._silent_since,
         )
-        # After a restart of the log in this process, this no longer holds: the member has answered
-        # leaders in the meantime.
+        # Valid only for the first run of the log: before a later run, this member may have answered
+        # leaders.
         self._silent_since = None
         async with trio.open_nursery() as nursery:
             await nursery.start(log.run)
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -31,7 +31,8 @@
 from .tier_messages import CrashReport, Place, TierView
 
 MAX_CRASH_REPORTS = 20
-"""Limit of crashes in one report. When a whole zone is lost, its requests did not crash it."""
+"""Limit of crashes in one report. The loss of a whole zone confirms more at once, but it is not
+caused by requests."""
 HOST_COUNT_RETENTION: Millis = 30 * SECOND
 """Budgets and connections are divided by the highest number of hosts seen within this time. A host
 that is cut off from the leader goes on using its share, so the others must not use it as well."""
@@ -288,8 +289,8 @@
         crashes = self.crashes[:MAX_CRASH_REPORTS]
         self.crashes = []
         now = self._clock.now()
-        told = [one for one in self._sent_crash_reports if now - one[0] < CRASH_RETENTION]
-        self._sent_crash_reports = [*told, *((now, crash) for crash in crashes)]
+        retained = [one for one in self._sent_crash_reports if now - one[0] < CRASH_RETENTION]
+        self._sent_crash_reports = [*retained, *((now, crash) for crash in crashes)]
         return crashes
 
     def on_new_leader(self) -> None:
--- a/src/alderhatch/node/tier_client.py
+++ b/src/alderhatch/node/tier_client.py
@@ -113,7 +113,7 @@
         hosts left a host without a configuration for most of a second after a restart of all hosts.
         """
         search.begin_round([*self._state.controls, *self._places(), *self._redirect_places])
-        self._move_hint(search)
+        self._apply_hint(search)
         while not search.is_round_over:
             place = search.next_place()
             if place is not None:
@@ -121,10 +121,10 @@
             with trio.move_on_after(DIAL_STAGGER * search.backoff_factor / SECOND):
                 await search.progress.wait()
             search.progress = trio.Event()
-            self._move_hint(search)
+            self._apply_hint(search)
         search.end_round()
 
-    def _move_hint(self, search: LeaderSearch) -> None:
+    def _apply_hint(self, search: LeaderSearch) -> None:
         if self._leader_hint is not None and not search.leader_found:
             search.add_hint(self._leader_hint)
             self._leader_hint = None
--- a/src/alderhatch/node/tier_messages.py
+++ b/src/alderhatch/node/tier_messages.py
@@ -118,7 +118,7 @@
 
 
 class KeptNews(NamedTuple):
-    """The state of a host without a leader, sent to a host that has none yet."""
+    """State to serve from without a leader, sent to a host that has not started yet."""
 
     configuration: ConfigurationNews
     """A configuration that was in force; there may be a newer one."""
@@ -147,7 +147,7 @@
 
 
 class Pulse(NamedTuple):
-    """Keep-alive of the leader."""
+    """Keep-alive of the leader; says whether its server list is fresh."""
 
     list_is_fresh: bool
 
--- a/src/alderhatch/node/tier_updates.py
+++ b/src/alderhatch/node/tier_updates.py
@@ -161,11 +161,11 @@
         return message
 
     def _server_changes_message(self, old: ServerList) -> bytes:
-        known = self._server_messages.get(old.number)
-        if known is None:
-            known = self._encode(_server_changes(old, self._servers))
-            self._server_messages[old.number] = known
-        return known
+        cached = self._server_messages.get(old.number)
+        if cached is None:
+            cached = self._encode(_server_changes(old, self._servers))
+            self._server_messages[old.number] = cached
+        return cached
 
 
 def _server_changes(old: ServerList, new: ServerList) -> ServerNews:
