--- a/features/hand_over.feature
+++ b/features/hand_over.feature
@@ -102,7 +102,7 @@
 
   Scenario Outline: Number of standby hosts
     # Guards against a small tier whose hosts cannot replace each other immediately.
-    Given a leader before <hosts> hosts
+    Given a leader with <hosts> hosts
     When all of them join within 1000 ms, and serve callers from then on
     And 3 seconds pass
     Then at least <least> and at most <most> hosts received the server list
@@ -117,7 +117,7 @@
 
   Scenario: A standby host that reaches no active host gets the server list
     # Guards against a host that refuses its callers for good when the active hosts are lost.
-    Given a leader before 100 hosts
+    Given a leader with 100 hosts
     When all of them join within 1000 ms, and serve callers from then on
     And 2 seconds pass
     And the last host requests the server list
--- a/features/steps/caller_hosts_steps.py
+++ b/features/steps/caller_hosts_steps.py
@@ -94,7 +94,7 @@
 )
 def step_node(context, count, max_connections):
     context.state = node_with_servers(context, "host-0", max_connections)
-    context.state.take_view(view_of(count))
+    context.state.apply_view(view_of(count))
 
 
 def node_with_servers(context, name, max_connections):
@@ -111,13 +111,13 @@
 @when("nothing changes for {seconds:d} seconds, and then one host is lost")
 def step_lost(context, seconds):
     context.clock.advance(seconds * SECOND)
-    context.state.take_view(view_of(len(context.state.hosts) - 1))
+    context.state.apply_view(view_of(len(context.state.hosts) - 1))
 
 
 @when("{seconds:d} seconds later the same view arrives again")
 def step_later(context, seconds):
     context.clock.advance(seconds * SECOND)
-    context.state.take_view(view_of(len(context.state.hosts)))
+    context.state.apply_view(view_of(len(context.state.hosts)))
 
 
 @then("the node holds at most {count:d} connections to each server")
@@ -144,15 +144,15 @@
 
 @when('a leader reports the hosts "{names}"')
 def step_view(context, names):
-    context.state.take_view(view_by_name(names))
+    context.state.apply_view(view_by_name(names))
 
 
 @when('it has probed hosts {times:d} times, and only "{alive}" answered')
 @when('it has probed hosts {times:d} times, and only "" answered')
 def step_probed(context, times, alive=""):
     for _ in range(times):
-        probed = [host.name for host in context.state.hosts_to_try()]
-        context.state.saw_hosts({name: name in alive.split() for name in probed})
+        probed = [host.name for host in context.state.hosts_to_probe()]
+        context.state.record_host_probes({name: name in alive.split() for name in probed})
 
 
 @then('it advertises "{names}" to callers')
--- a/features/steps/forwarding_crash_steps.py
+++ b/features/steps/forwarding_crash_steps.py
@@ -24,11 +24,11 @@
 
 def record_attempt(context, request, server, fault):
     target = SimpleNamespace(upstream="kitchen", server_id=server)
-    context.state.saw_attempt(request, target, fault, context.clock.now())
+    context.state.record_attempt(request, target, fault, context.clock.now())
 
 
 def report(context):
-    for fingerprint, server_id in context.state.take_crashes():
+    for fingerprint, server_id in context.state.take_crash_reports():
         context.crash_counter.report(fingerprint, server_id, context.clock.now())
 
 
@@ -102,7 +102,7 @@
 
 @when('the leader reports that "{request}" is quarantined, and then stops responding')
 def step_told(context, request):
-    context.state.take_quarantine([request])
+    context.state.apply_quarantine([request])
 
 
 @then('the host refuses "{first}" and "{second}" for {held:d} s and not after {over:d} s')
--- a/features/steps/hand_over_steps.py
+++ b/features/steps/hand_over_steps.py
@@ -31,7 +31,7 @@
 from alderhatch.node.hand_over_server import HandOverServer
 from alderhatch.node.tier_messages import ServerNews, Standing
 from features.steps.caller_hosts_steps import node_with_servers
-from features.steps.tier_size_steps import played
+from features.steps.tier_size_steps import tier_after_script
 from features.support.tier_hosts import server_list
 
 SECRET = b"the secret of a tier of the tests"
@@ -160,7 +160,7 @@
         self.seen_version = VERSION
         self.caller_hosts = [HostRecord("other", "zone-0", "127.0.0.1:1", True, 1.0, port)]
 
-    def saw_version(self, version):
+    def record_seen_version(self, version):
         self.seen_version = max(self.seen_version, version)
 
 
@@ -426,20 +426,20 @@
 @then("at least {least:d} and at most {most:d} hosts received the server list")
 def step_received_list(context, least, most):
     context.script.insert(0, send_server_list)
-    tier = played(context)
-    count = sum(bool(host.heard(ServerNews)) for host in tier.hosts)
+    tier = tier_after_script(context)
+    count = sum(bool(host.received(ServerNews)) for host in tier.hosts)
     assert least <= count <= most, count
 
 
 async def send_server_list(tier):
-    tier.server.take_list(server_list(20))
+    tier.server.update_server_list(server_list(20))
 
 
 @then("each of the others was told that it is a standby host")
 def step_told_standing(context):
     for host in context.tier.hosts:
-        stands_by = host.heard(Standing) == [Standing(True)]
-        assert stands_by != bool(host.heard(ServerNews)), host.name
+        stands_by = host.received(Standing) == [Standing(True)]
+        assert stands_by != bool(host.received(ServerNews)), host.name
 
 
 @when("the last host requests the server list")
@@ -453,9 +453,9 @@
 
 @then("the last host received the server list")
 def step_last_received_list(context):
-    host = played(context).hosts[-1]
-    assert host.heard(Standing) == [Standing(True), Standing(False)]
-    assert len(host.heard(ServerNews)) == 1
+    host = tier_after_script(context).hosts[-1]
+    assert host.received(Standing) == [Standing(True), Standing(False)]
+    assert len(host.received(ServerNews)) == 1
 
 
 # Configurations
@@ -465,8 +465,8 @@
 def step_versions(context, own, seen):
     context.node_state = node_with_servers(context, "me", 20)
     context.node_state.stored = StoredConfiguration(own, b"")
-    context.node_state.take_standing(True)
-    context.node_state.saw_version(seen)
+    context.node_state.apply_standing(True)
+    context.node_state.record_seen_version(seen)
     context.seen = seen
 
 
@@ -478,7 +478,7 @@
 
 @when("it becomes an active host")
 def step_becomes_active(context):
-    context.node_state.take_standing(False)
+    context.node_state.apply_standing(False)
 
 
 @then('its callers are refused as "{kind}" until it has {version:d}')
--- a/src/alderhatch/node/caller_handler.py
+++ b/src/alderhatch/node/caller_handler.py
@@ -139,7 +139,7 @@
         except AlderhatchError as exc:
             kind = exc.failure.kind
             if kind is ErrorKind.NOT_SERVING:
-                self._state.need_servers()
+                self._state.request_server_list()
             self._metrics.count_handed_over(kind)
             self._log.log_handed_over(req, None, kind, self._clock.now() - arrived)
             raise
--- a/src/alderhatch/node/forward_runner.py
+++ b/src/alderhatch/node/forward_runner.py
@@ -96,7 +96,7 @@
             if sent_at is not None:
                 self._table.record_abandoned(send.target, sent_at, now)
             return
-        self._state.saw_attempt(active.fingerprint, send.target, parsed.fault, now)
+        self._state.record_attempt(active.fingerprint, send.target, parsed.fault, now)
         if parsed.fault is not None:
             self._table.record_failure(send.target, parsed.fault, parsed.retry_after, now)
         elif sent_at is not None:
--- a/src/alderhatch/node/server_list.py
+++ b/src/alderhatch/node/server_list.py
@@ -92,7 +92,7 @@
     async def _read_while_leading(self) -> None:
         if self._state.list_age() < FRESH_DURATION:
             # A new leader immediately sends the list that it read before its election.
-            self._server.take_list(dict(self._state.records))
+            self._server.update_server_list(dict(self._state.records))
         while self._server.leads:
             await self._read()
             await trio.sleep(READ_INTERVAL / SECOND)
@@ -113,10 +113,10 @@
             known_id: self._warm_at[known_id] for known_id in self._warm_at if known_id in records
         }
         if self._server.leads:
-            self._server.take_list(records)
+            self._server.update_server_list(records)
         if records != self._state.records:
-            self._state.take_servers(records.values(), list(self._state.records))
-        self._state.list_is_fresh()
+            self._state.apply_servers(records.values(), list(self._state.records))
+        self._state.mark_list_fresh()
 
     def _with_stable_warm_up(self, record: ServerRecord) -> ServerRecord:
         """Return a record that differs from the last one only if the server has changed.
--- /dev/null
+++ b/src/alderhatch/node/state_checkpoint.py
@@ -0,0 +1,130 @@
+"""Checkpoints of a node's state, from which a host serves right after a restart."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import NamedTuple
+
+import trio
+
+from ..clock import SECOND, Millis
+from ..codec import Codec
+from ..core.control.configuration_register import StoredConfiguration
+from ..core.control.evacuations import NO_EVACUATIONS, Evacuations
+from ..errors import AlderhatchError
+from ..log import log_event
+from ..log_events import LogEvent
+from ..storage.files import DiskFiles, write_whole
+from .node_state import NodeState
+from .tier_messages import ConfigurationNews, TierView
+
+CHECKPOINT_NAME = "beliefs"
+TEMPORARY_NAME = "beliefs.new"
+CHECKPOINT_INTERVAL: Millis = 300.0
+"""How often the state is checked for changes; of several changes only the newest is written."""
+
+RESTORE_TIMEOUT: Millis = 200.0
+"""How long a start waits for the disk; a healthy disk answers within a few milliseconds."""
+
+
+class KeptState(NamedTuple):
+    """The state that a host needs to serve requests without a leader."""
+
+    configuration: ConfigurationNews
+    """A committed configuration that was in force; the replicated log may have a newer one."""
+    view: TierView
+    """The other hosts; budgets and connections are divided by their number."""
+    evacuations: Evacuations = NO_EVACUATIONS
+
+
+CODEC = Codec(KeptState)
+
+
+class CheckpointStore:
+    """Writes a node's state to its data folder, and restores it after a start.
+
+    After a restart of all hosts the log has to elect a leader, and each host has to find it.
+    Without a checkpoint no host would know a configuration until then, and every request would be
+    refused for half a second or more although all hosts and servers are up. The configuration that
+    was in force before is good enough in the meantime; changes and reads of the configuration still
+    wait for the leader.
+
+    Args:
+        folder: The host's data folder.
+        state: The node's state.
+        read: Reads the checkpoint in a folder; returns None if there is none.
+    """
+
+    def __init__(
+        self,
+        folder: Path,
+        state: NodeState,
+        read: Callable[[Path], KeptState | None] | None = None,
+    ) -> None:
+        self._folder = folder
+        self._state = state
+        self._read = read or _read
+        self._checkpoint: KeptState | None = None
+        self._is_writable = True
+
+    async def restore(self) -> None:
+        """Apply the checkpoint of the last run, if there is one."""
+        checkpoint: KeptState | None = None
+        try:
+            # A disk may hang for seconds. The host opens its ports without the checkpoint rather
+            # than wait for it.
+            with trio.fail_after(RESTORE_TIMEOUT / SECOND):
+                checkpoint = await trio.to_thread.run_sync(
+                    self._read, self._folder, abandon_on_cancel=True
+                )
+        except trio.TooSlowError:
+            log_event(LogEvent.BELIEFS_NOT_KEPT, why="the disk did not answer in time")
+        except (OSError, AlderhatchError) as exc:
+            log_event(LogEvent.BELIEFS_NOT_KEPT, why=str(exc))
+        if checkpoint is None:
+            return
+        self._checkpoint = checkpoint
+        self._state.apply_evacuations(checkpoint.evacuations)
+        self._state.apply_configuration(StoredConfiguration(*checkpoint.configuration))
+        # Some hosts, among them this one, may not have been serving when the checkpoint was
+        # written. If they stayed excluded, they would not be advertised to callers until there is a
+        # leader.
+        hosts = [host._replace(serving=True) for host in checkpoint.view.hosts]
+        self._state.apply_view(checkpoint.view._replace(hosts=hosts))
+
+    async def run(self) -> None:
+        """Write a checkpoint whenever the state has changed, until cancelled."""
+        while True:
+            await trio.sleep(CHECKPOINT_INTERVAL / SECOND)
+            state = self._state
+            if state.stored.version == 0 or state.view is None:
+                continue
+            current = KeptState(ConfigurationNews(*state.stored), state.view, state.evacuations)
+            if current == self._checkpoint:
+                continue
+            await self._save(current)
+
+    async def _save(self, new_state: KeptState) -> None:
+        try:
+            await trio.to_thread.run_sync(_write, self._folder, new_state, abandon_on_cancel=True)
+        except OSError as exc:
+            # The replicated log reports disk failures too, so only the first of a series is logged.
+            if self._is_writable:
+                log_event(LogEvent.BELIEFS_NOT_KEPT, why=str(exc))
+            self._is_writable = False
+            return
+        self._is_writable = True
+        self._checkpoint = new_state
+
+
+def _read(folder: Path) -> KeptState | None:
+    files = DiskFiles(folder)
+    if CHECKPOINT_NAME not in files.names():
+        return None
+    checkpoint: KeptState = CODEC.decode(files.read(CHECKPOINT_NAME))
+    return checkpoint
+
+
+def _write(folder: Path, new_state: KeptState) -> None:
+    write_whole(DiskFiles(folder), CHECKPOINT_NAME, TEMPORARY_NAME, CODEC.encode(new_state))
