--- a/src/alderhatch/node/node.py
+++ b/src/alderhatch/node/node.py
@@ -22,6 +22,7 @@
 from ..log_events import LogEvent
 from ..log_output import BoundedLogHandler
 from ..stop_signal import STOP_SIGNALS, wait_for_stop
+from .bootstrap import BOOTSTRAP_ROLE, BootstrapCoordinator, bootstrap_cluster
 from .caller_handler import CallerHandler
 from .configuration_service import ConfigurationService
 from .control_member import ControlMember
