--- a/features/steps/entry_connections_steps.py
+++ b/features/steps/entry_connections_steps.py
@@ -150,7 +150,7 @@
     used = True
     closed_by_peer = False
     opened_at = 0.0
-    progress_at = 0.0
+    last_progress_at = 0.0
 
     def close(self, fault=None):
         self.usable = False
--- a/src/alderhatch/entry/server_connections.py
+++ b/src/alderhatch/entry/server_connections.py
@@ -72,7 +72,7 @@
             conn = self.idle.pop()
             if conn.alive:
                 self.busy.add(conn)
-                conn.progress_at = now
+                conn.last_progress_at = now
                 return conn
             self.drop(conn, now)
         return None
@@ -94,7 +94,7 @@
         while self.waiting:
             waiter = self.waiting.popleft()
             self.busy.add(conn)
-            conn.progress_at = now
+            conn.last_progress_at = now
             waiter.conn = conn
             waiter.ready.set()
             return
@@ -158,7 +158,7 @@
 
     def drop_silent(self, before: Millis, now: Millis) -> None:
         """Close the busy connections on which nothing has moved since a point in time."""
-        for conn in [conn for conn in self.busy if conn.progress_at < before]:
+        for conn in [conn for conn in self.busy if conn.last_progress_at < before]:
             # The way between the two ends may have lost track of one connection while new ones
             # work. So it is the connection that goes; whether the server is at fault as well is
             # for the core to judge by what it hears from others.
@@ -173,7 +173,7 @@
 
     def drop_surplus(self, before: Millis, now: Millis) -> None:
         """Close idle connections but the last used one that were not used since a point in time."""
-        while len(self.idle) > 1 and self.idle[0].progress_at < before:
+        while len(self.idle) > 1 and self.idle[0].last_progress_at < before:
             self.drop(self.idle.popleft(), now)
 
     def drop_old(self, before: Millis, now: Millis) -> None:
--- a/src/alderhatch/http/connection.py
+++ b/src/alderhatch/http/connection.py
@@ -46,7 +46,7 @@
         self.closed_by_peer = False
         """Whether the other end is known to have closed it."""
         self.opened_at = opened_at
-        self.progress_at = opened_at
+        self.last_progress_at = opened_at
         """When the present exchange last saw a byte move; its owner sets the start of it."""
 
     @property
@@ -256,7 +256,7 @@
 
     async def _receive(self) -> None:
         data = await self._socket.receive()
-        self.progress_at = trio.current_time() * SECOND
+        self.last_progress_at = trio.current_time() * SECOND
         self.closed_by_peer = not data
         self._http.receive_data(data)
 
