--- a/features/steps/platform_edge_steps.py
+++ b/features/steps/platform_edge_steps.py
@@ -15,7 +15,7 @@
 from alderhatch.node.dialect import CallerRequest
 from alderhatch.platform.configuration import decode_configuration
 from alderhatch.platform.dialect import PlatformDialect
-from alderhatch.platform.server_list import read_server
+from alderhatch.platform.server_list import parse_server
 from alderhatch.platform.settings import parse_settings
 from features.support.forward_model import scatter_route, single_route
 
@@ -201,7 +201,7 @@
 
 @then("reading the list gives the other server only")
 def step_other_only(context):
-    found = [one for one in map(read_server, context.listed) if one is not None]
+    found = [one for one in map(parse_server, context.listed) if one is not None]
     assert [one.server_id for one in found] == ["i-1"], found
 
 
@@ -212,7 +212,7 @@
 
 @then("the first is read as draining and the second as warm in 2500 ms")
 def step_states(context):
-    first, second = map(read_server, context.listed)
+    first, second = map(parse_server, context.listed)
     assert first.draining
     assert (second.draining, second.warm_up) == (False, 2500.0)
 
--- a/src/alderhatch/http/__init__.py
+++ b/src/alderhatch/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 by h11 on trio streams, as server and as client."""
+"""HTTP/1.1 server and client, built on h11 and trio."""
--- a/src/alderhatch/http/_request_heads.py
+++ b/src/alderhatch/http/_request_heads.py
@@ -1,4 +1,4 @@
-"""The heads of requests as h11 takes them."""
+"""Builds the request heads that h11 sends."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from .messages import HeaderFields
 
 BODY_METHODS = ("POST", "PUT", "PATCH")
-"""Methods whose requests state their length also when it is 0."""
-REQUEST_HEADS = 2048
-"""Request heads kept, for all servers together."""
+"""Methods whose requests have a Content-Length even if the body is empty."""
+HEAD_CACHE_SIZE = 2048
+"""Number of cached request heads, over all servers."""
 
 
 def request_head(
     method: str, target: str, host: bytes, length: int, headers: Sequence[tuple[str, str]] = ()
 ) -> h11.Request:
-    """Return the head of a request of ours, whose body is JSON if there is any."""
+    """Return the head of a request that this host creates; a body, if any, is JSON."""
     fields = [(b"Host", host), (b"Content-Length", b"%d" % length)]
     if length:
         fields.append((b"Content-Type", b"application/json"))
@@ -26,14 +26,17 @@
     return h11.Request(method=method, target=target, headers=fields)
 
 
-@lru_cache(REQUEST_HEADS)
-def usual_head(method: str, target: str, host: bytes, length: int) -> h11.Request:
-    """Return the head of a request without further fields; h11 checks each that it makes."""
+@lru_cache(HEAD_CACHE_SIZE)
+def cached_head(method: str, target: str, host: bytes, length: int) -> h11.Request:
+    """Return the head of a request without further fields.
+
+    Heads are cached because h11 validates each one that it creates.
+    """
     return request_head(method, target, host, length)
 
 
 def forwarded_head(method: str, target: str, fields: HeaderFields, body: bytes) -> h11.Request:
-    """Return the head of a request that is passed on, with its body's length."""
+    """Return the head of a forwarded request, with the length of its body."""
     headers = list(fields)
     if body or method in BODY_METHODS:
         headers.append((b"content-length", b"%d" % len(body)))
--- a/src/alderhatch/http/client.py
+++ b/src/alderhatch/http/client.py
@@ -1,4 +1,4 @@
-"""Connects to servers and makes single exchanges."""
+"""Opens connections to servers and runs single exchanges."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 KEEPALIVE_INTERVAL_S = 5
 KEEPALIVE_PROBES = 3
 USER_TIMEOUT_MS = 5000
-"""How long sent bytes may stay unacknowledged before the kernel gives the connection up."""
+"""Time for which sent bytes may stay unacknowledged before the kernel closes the connection."""
 
 
-def _watch_for_dead_peer(stream: trio.SocketStream) -> None:
-    """Let the kernel find a connection whose other end, or the way there, is gone."""
+def _enable_dead_peer_detection(stream: trio.SocketStream) -> None:
+    """Let the kernel detect that the peer or the network path to it has failed."""
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
@@ -33,18 +33,18 @@
     Args:
         address: An IP address.
         port: A TCP port.
-        timeout: The longest time to wait, in milliseconds.
+        timeout: Longest time to wait, in milliseconds.
 
     Raises:
-        HttpExchangeError: Of the fault ``not_sent`` if there is no connection in time.
+        HttpExchangeError: With the fault ``not_sent``, if no connection is open in time.
     """
     try:
         with trio.fail_after(timeout / SECOND):
             stream = await trio.open_tcp_stream(address, port)
     except (OSError, trio.TooSlowError) as exc:
-        message = f"no connection to {address}:{port}: {exc}"
+        message = f"cannot connect to {address}:{port}: {exc}"
         raise HttpExchangeError(message, ExchangeFault.NOT_SENT) from exc
-    _watch_for_dead_peer(stream)
+    _enable_dead_peer_detection(stream)
     return HttpConnection(stream, f"{address}:{port}", trio.current_time() * SECOND)
 
 
@@ -57,16 +57,17 @@
     headers: Sequence[tuple[str, str]] = (),
     max_body: int = MAX_REPLY_BODY_BYTES,
 ) -> HttpReply:
-    """Make one exchange that is over after a time, in milliseconds, whatever happens.
+    """Run one exchange with a timeout in milliseconds.
 
     Raises:
-        HttpExchangeError: Of the fault ``silent`` if there was no whole response in time.
+        HttpExchangeError: With the fault ``silent``, if no complete response came in time; or as
+            raised by ``HttpConnection.exchange``.
     """
     try:
         with trio.fail_after(timeout / SECOND):
             return await conn.exchange(method, target, body, headers, max_body)
     except trio.TooSlowError as exc:
-        message = f"no answer within {timeout} ms"
+        message = f"no complete response within {timeout} ms"
         raise HttpExchangeError(message, ExchangeFault.SILENT) from exc
 
 
@@ -79,10 +80,10 @@
     headers: Sequence[tuple[str, str]] = (),
     timeout: Millis = 5000.0,
 ) -> HttpReply:
-    """Make one exchange on a connection of its own.
+    """Run one exchange on a new connection, which is closed afterwards.
 
     Raises:
-        HttpExchangeError: If there was no whole response in time.
+        HttpExchangeError: If no complete response came in time.
     """
     conn = await open_http(address, port, timeout)
     try:
--- a/src/alderhatch/http/direct_socket.py
+++ b/src/alderhatch/http/direct_socket.py
@@ -1,4 +1,4 @@
-"""A connected TCP socket without the steps that an exchange has no use for."""
+"""A TCP socket with less overhead per exchange than a trio stream."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 
 class DirectSocket:
-    """Sends at once and reads only once there is something to read.
+    """Sends without a checkpoint and waits for data before it reads.
 
-    trio's own stream gives way to other tasks after each send, and tries to read before it waits.
-    Whoever makes an exchange waits for the answer right after its request, and the answer is never
-    there yet: the first is a switch of tasks, the second a call of the kernel, for nothing.
+    A trio stream runs a checkpoint after each send and tries to read before it waits. In an HTTP
+    exchange the client reads right after it has sent its request, when the response has never
+    arrived yet, so the one costs a needless task switch and the other a needless system call.
 
     Args:
-        stream: The connection; it must not be used any more.
+        stream: The connection, whose socket this object takes over. The stream must not be used
+            afterwards.
     """
 
     __slots__ = ("_poll", "_sock")
@@ -30,15 +31,15 @@
         self._poll.register(self._sock, select.POLLIN)
 
     def is_readable(self) -> bool:
-        """Return whether there are bytes to read, or the end of the stream or an error."""
+        """Return whether data, the end of the stream or an error is pending."""
         return bool(self._poll.poll(0))
 
     async def send_all(self, data: bytes) -> None:
-        """Send bytes; gives way to other tasks only if the kernel does not take them all.
+        """Send all bytes; a checkpoint runs only if the kernel does not accept all of them at once.
 
         Raises:
-            trio.BrokenResourceError: If the connection broke.
-            trio.ClosedResourceError: If it was closed at this end.
+            trio.BrokenResourceError: If the connection failed.
+            trio.ClosedResourceError: If this end closed the connection.
         """
         sent = self._send(data)
         while sent < len(data):
@@ -54,11 +55,11 @@
             raise self._error(exc) from exc
 
     async def receive(self) -> bytes:
-        """Return the next bytes, once there are some; empty at the end of the stream.
+        """Wait for data and return it; empty at the end of the stream.
 
         Raises:
-            trio.BrokenResourceError: If the connection broke.
-            trio.ClosedResourceError: If it was closed at this end, also while this waits.
+            trio.BrokenResourceError: If the connection failed.
+            trio.ClosedResourceError: If this end closed the connection, before or during the wait.
         """
         while True:
             await trio.lowlevel.wait_readable(self._sock)
@@ -71,12 +72,12 @@
 
     def _error(self, exc: OSError) -> trio.BrokenResourceError | trio.ClosedResourceError:
         if self._sock.fileno() < 0:
-            return trio.ClosedResourceError("closed at this end")
-        return trio.BrokenResourceError(f"the socket broke: {exc}")
+            return trio.ClosedResourceError("socket was closed locally")
+        return trio.BrokenResourceError(f"socket error: {exc}")
 
     def close(self) -> None:
-        """Close the socket at once; whoever waits for it is told."""
+        """Close the socket at once and wake the tasks that wait for it."""
         if self._sock.fileno() >= 0:
-            # Closed without this word, a task that waits for the socket would wait for ever.
+            # Without this call a task that waits for the socket would never wake up.
             trio.lowlevel.notify_closing(self._sock)
             self._sock.close()
--- a/src/alderhatch/http/exchange.py
+++ b/src/alderhatch/http/exchange.py
@@ -1,4 +1,4 @@
-"""What becomes of an exchange with a server: a whole response, or a fault."""
+"""Results of an HTTP exchange with a server: a complete response or a fault."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HttpReply(NamedTuple):
-    """One whole response as a client sees it."""
+    """A complete response as a client receives it."""
 
     status: int
     headers: Sequence[tuple[bytes, bytes]]
@@ -16,7 +16,7 @@
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the value of the first header field with a lower-case name, if there is one."""
+        """Return the value of the first header field with this lower-case name, or None."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -24,20 +24,20 @@
 
 
 class ExchangeFault(StrEnum):
-    """How an exchange came to no whole response."""
+    """Why an exchange ended without a complete response."""
 
     NOT_SENT = "not_sent"
     """No byte of the request left this host."""
     LOST = "lost"
-    """The connection broke after a byte may have been sent."""
+    """The connection failed after a byte may have been sent."""
     SILENT = "silent"
-    """Nothing came for too long."""
+    """No data arrived within the timeout."""
     GARBAGE = "garbage"
-    """What came was no HTTP response, or one beyond all limits."""
+    """The server sent no valid HTTP response, or one that exceeds a limit."""
 
 
 class HttpExchangeError(Exception):
-    """An exchange did not give a whole response; the connection is of no further use."""
+    """An exchange ended without a complete response; its connection can't be used again."""
 
     def __init__(self, message: str, fault: ExchangeFault) -> None:
         super().__init__(message)
--- a/src/alderhatch/http/messages.py
+++ b/src/alderhatch/http/messages.py
@@ -1,4 +1,4 @@
-"""What an HTTP request and its response are to the code above h11."""
+"""HTTP requests and responses, independent of h11."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 JSON = "application/json"
 
 HeaderFields: TypeAlias = Sequence[tuple[bytes, bytes]]
-"""Header fields in their order; names are in lower case."""
+"""Header fields in their order, with lower-case names."""
 
 
 class HttpRequest(NamedTuple):
-    """One whole request."""
+    """A complete request."""
 
     method: str
     path: str
-    """The path without the query string."""
+    """Path without the query string."""
     query: Mapping[str, str]
-    """The parameters of the query string; the last of several with one name counts."""
+    """Parameters of the query string. The last one counts if a name occurs more than once."""
     headers: Mapping[str, str]
     """Header fields with lower-case names."""
     body: bytes
     target: str = ""
     """Path and query string as the client sent them."""
     fields: HeaderFields = ()
-    """All header fields, also those that came more than once."""
+    """All header fields, including repeated ones."""
     on_used_connection: bool = False
     """Whether the connection has carried an earlier request."""
     round_trip: Millis = 0.0
-    """How long the way to the client and back takes, as the kernel measured it; 0 if unknown."""
+    """Round-trip time to the client, as measured by the kernel; 0 if unknown."""
 
 
 class HttpResponse(NamedTuple):
-    """One whole response."""
+    """A complete response."""
 
     status: int
     body: bytes
     content_type: str | None = JSON
-    """None if ``fields`` says what the body is."""
+    """None if ``fields`` contains the content type."""
     headers: tuple[tuple[str, str], ...] = ()
     fields: HeaderFields = ()
-    """Further header fields, passed on as they are."""
+    """Further header fields, sent unchanged."""
 
 
 class HttpLimits(NamedTuple):
-    """What a server takes from one client."""
+    """Limits of a server for its clients."""
 
     connections: int = 1000
     head_bytes: int = 16_384
@@ -60,16 +60,16 @@
 
 
 def json_response(status: int, value: object) -> HttpResponse:
-    """Return a response with a value as JSON."""
+    """Return a response whose body is a value in JSON."""
     return HttpResponse(status, orjson.dumps(value))
 
 
 def failure_response(failure: Failure, **extra: object) -> HttpResponse:
-    """Return the response that the table of errors has for a failure.
+    """Return the response for a failure, as defined in the error catalogue.
 
     Args:
-        failure: What failed.
-        **extra: Further fields of the body, such as the request id.
+        failure: The failure to report.
+        **extra: Further fields of the body, such as the request ID.
     """
     answer = failure.answer
     body: dict[str, object] = {
--- a/src/alderhatch/http/server.py
+++ b/src/alderhatch/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server by h11 on trio sockets."""
+"""An HTTP/1.1 server, built on h11 and trio."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 Handler: TypeAlias = Callable[[HttpRequest], Awaitable[HttpResponse]]
 READ_BYTES = 65_536
-MAX_EARLY_BYTES = 65_536
-"""What a client may send ahead while its request is being answered."""
+MAX_PIPELINED_BYTES = 65_536
+"""Bytes that a client may send ahead while its request is being answered."""
 TCP_INFO_BYTES = 104
 RTT_OFFSET = 68
-"""Where ``struct tcp_info`` of the kernel has its smoothed round trip, in microseconds."""
-LINGER: Millis = 1000.0
-MAX_LINGER_BYTES = 4 * 1024 * 1024
+"""Offset of the smoothed round-trip time, in microseconds, in the kernel's ``struct tcp_info``."""
+DRAIN_TIMEOUT: Millis = 1000.0
+MAX_DRAIN_BYTES = 4 * 1024 * 1024
 
 
 class ServeState:
-    """What a server has under way, and whether it is about to end."""
+    """Open connections and requests in progress of a server, and whether it is stopping."""
 
     def __init__(self) -> None:
         self.connections = 0
         self.exchanges = 0
-        """Requests that are being answered, from their last byte to the last byte sent back."""
+        """Requests in progress: received completely, and the response not yet sent completely."""
         self.closing = False
-        """Set to close each connection with its next answer, so that clients go elsewhere."""
+        """Set to close each connection after its next response, so that clients use other hosts."""
         self.refusing = False
-        """Set to begin no further request: connections on which one arrives are closed."""
+        """Set to start no further request: a connection on which one arrives is closed."""
 
 
 async def serve_http(
@@ -50,39 +50,39 @@
 ) -> None:
     """Answer HTTP requests until cancelled.
 
-    The handler is cancelled when its client closes the connection. What the handler raises as
-    ``AlderhatchError`` becomes the answer of the table of errors; anything else is logged and
-    answered as ``internal``.
+    The handler is cancelled when its client closes the connection. An ``AlderhatchError`` of the
+    handler becomes the response that the error catalogue defines; any other exception is logged
+    and answered as ``internal``.
 
     Args:
         listeners: Open listening sockets.
-        handler: Called once for each whole request.
-        limits: What is taken from one client; more connections than the limit are closed at once.
-            A function is asked before each request, for limits that change while the server runs.
-        state: Shows what is under way, and takes the word that the server is about to end.
-        task_status: Told when requests are taken.
+        handler: Called once for each complete request.
+        limits: Limits for clients; connections beyond the limit are closed at once. A function is
+            called before each request, for limits that change while the server runs.
+        state: Updated with the work in progress; its flags tell the server that it is stopping.
+        task_status: Reported as started once the server accepts connections.
     """
-    known = state or ServeState()
-    current = limits if callable(limits) else lambda: limits
+    serve_state = state or ServeState()
+    get_limits = limits if callable(limits) else lambda: limits
 
     async def on_connection(stream: trio.SocketStream) -> None:
-        if known.connections >= current().connections:
+        if serve_state.connections >= get_limits().connections:
             await trio.aclose_forcefully(stream)
             return
-        known.connections += 1
+        serve_state.connections += 1
         try:
-            await _ServerConnection(stream, handler, current, known).run()
+            await _ServerConnection(stream, handler, get_limits, serve_state).run()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
         finally:
-            known.connections -= 1
+            serve_state.connections -= 1
             await trio.aclose_forcefully(stream)
 
     await trio.serve_listeners(on_connection, listeners, task_status=task_status)
 
 
 class _ServerConnection:
-    """One client's connection, which carries requests one after the other."""
+    """A client's connection, which carries one request at a time."""
 
     def __init__(
         self,
@@ -97,9 +97,9 @@
         self._current_limits = current_limits
         self._limits = current_limits()
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=self._limits.head_bytes)
-        self._early = b""
-        self._answered = 0
-        self._round_trip = round_trip_of(stream)
+        self._pipelined = b""
+        self._answered_count = 0
+        self._round_trip = measure_round_trip(stream)
 
     async def run(self) -> None:
         while True:
@@ -108,7 +108,7 @@
             except AlderhatchError as exc:
                 log_event(LogEvent.CALLER_INPUT_REFUSED, why=str(exc))
                 await self._send(failure_response(exc.failure), close=True)
-                await self._linger()
+                await self._drain_input()
                 return
             if req is None or self._state.refusing:
                 return
@@ -120,40 +120,42 @@
                 await self._send(response, close=self._state.closing)
             finally:
                 self._state.exchanges -= 1
-            self._answered += 1
+            self._answered_count += 1
             if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
                 return
             self._http.start_next_cycle()
 
-    async def _linger(self) -> None:
-        # A socket closed with bytes unread resets the connection, and the reset can overtake the
-        # answer: a caller whose body was too large would see a broken connection and no reason.
-        with trio.move_on_after(LINGER / SECOND):
+    async def _drain_input(self) -> None:
+        # Closing a socket with unread bytes resets the connection, and the reset can overtake the
+        # response: a caller whose body was too large would see a reset instead of the reason.
+        with trio.move_on_after(DRAIN_TIMEOUT / SECOND):
             await self._stream.send_eof()
-            left = MAX_LINGER_BYTES
-            while left > 0:
+            remaining = MAX_DRAIN_BYTES
+            while remaining > 0:
                 data = await self._stream.receive_some(READ_BYTES)
                 if not data:
                     return
-                left -= len(data)
+                remaining -= len(data)
 
     async def _read_request(self) -> HttpRequest | None:
         self._limits = self._current_limits()
         with trio.move_on_after(self._limits.idle_timeout / SECOND):
-            if not await self._first_bytes():
+            if not await self._await_first_bytes():
                 return None
-            # A client that sends a byte now and then would hold its connection and this task for
-            # good; many of them shut everyone else out. The whole request has to arrive in time.
+            # Without this timeout, a client that sends a byte now and then would occupy its
+            # connection and this task indefinitely, and many of them would exclude all others.
             with trio.move_on_after(self._limits.request_timeout / SECOND):
-                return await self._read_whole()
-            raise _refused(ErrorKind.TOO_SLOW, "the request did not arrive whole in time")
+                return await self._read_full_request()
+            raise _request_error(
+                ErrorKind.TOO_SLOW, "request was not received completely within the timeout"
+            )
         return None
 
-    async def _first_bytes(self) -> bool:
+    async def _await_first_bytes(self) -> bool:
         if self._http.trailing_data[0]:
             return True
-        data = self._early or await self._stream.receive_some(READ_BYTES)
-        self._early = b""
+        data = self._pipelined or await self._stream.receive_some(READ_BYTES)
+        self._pipelined = b""
         if not data:
             return False
         self._http.receive_data(data)
@@ -164,26 +166,28 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as exc:
-                large = exc.error_status_hint == 431
-                kind = ErrorKind.TOO_LARGE if large else ErrorKind.BAD_REQUEST
-                raise _refused(kind, f"not HTTP/1.1: {exc}") from exc
+                is_too_large = exc.error_status_hint == 431
+                kind = ErrorKind.TOO_LARGE if is_too_large else ErrorKind.BAD_REQUEST
+                raise _request_error(kind, f"invalid HTTP/1.1 request: {exc}") from exc
             if event is not h11.NEED_DATA:
                 return event  # type: ignore[return-value]
             if self._http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue")
-                await self._stream.send_all(self._http.send(go_on) or b"")
+                continue_response = h11.InformationalResponse(
+                    status_code=100, headers=[], reason=b"Continue"
+                )
+                await self._stream.send_all(self._http.send(continue_response) or b"")
             self._http.receive_data(await self._stream.receive_some(READ_BYTES))
 
-    async def _read_whole(self) -> HttpRequest | None:
+    async def _read_full_request(self) -> HttpRequest | None:
         head = await self._next_event()
         if isinstance(head, h11.ConnectionClosed):
             return None
         if not isinstance(head, h11.Request):
-            raise _refused(ErrorKind.BAD_REQUEST, "expected a request")
-        # h11 bounds only a head that is still incomplete; one that came in a single read passes.
+            raise _request_error(ErrorKind.BAD_REQUEST, "expected a request head")
+        # h11 limits only incomplete heads; one that arrives in a single read is not checked.
         if sum(len(name) + len(value) for name, value in head.headers) > self._limits.head_bytes:
-            message = f"the head is larger than {self._limits.head_bytes} bytes"
-            raise _refused(ErrorKind.TOO_LARGE, message)
+            message = f"request head is larger than {self._limits.head_bytes} bytes"
+            raise _request_error(ErrorKind.TOO_LARGE, message)
         chunks: list[bytes] = []
         size = 0
         while True:
@@ -191,16 +195,18 @@
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
-                raise _refused(ErrorKind.BAD_REQUEST, "the request ended early")
+                raise _request_error(
+                    ErrorKind.BAD_REQUEST, "request ended before its body was complete"
+                )
             size += len(event.data)
             if size > self._limits.body_bytes:
-                message = f"the body is larger than {self._limits.body_bytes} bytes"
-                raise _refused(ErrorKind.TOO_LARGE, message)
+                message = f"request body is larger than {self._limits.body_bytes} bytes"
+                raise _request_error(ErrorKind.TOO_LARGE, message)
             chunks.append(bytes(event.data))
-        return _to_request(head, b"".join(chunks), self._answered > 0, self._round_trip)
+        return _to_request(head, b"".join(chunks), self._answered_count > 0, self._round_trip)
 
     async def _handle(self, req: HttpRequest) -> HttpResponse | None:
-        """Run the handler; return None if the client went away meanwhile."""
+        """Run the handler; return None if the client disconnected meanwhile."""
         response: HttpResponse | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_client, nursery.cancel_scope)
@@ -215,12 +221,12 @@
             return failure_response(exc.failure)
         except Exception as exc:
             log_event(LogEvent.ENTRY_FAULT, exc=exc, path=req.path)
-            return failure_response(Failure(ErrorKind.INTERNAL, "a fault in alderhatch"))
+            return failure_response(Failure(ErrorKind.INTERNAL, "internal error in alderhatch"))
 
     async def _watch_client(self, scope: trio.CancelScope) -> None:
-        # Work for a client that has gone is wasted load on the upstreams. Its end of the
-        # connection closing shows as an empty read, upon which the handler is cancelled.
-        while len(self._early) < MAX_EARLY_BYTES:
+        # Work for a disconnected client is wasted load on the upstreams, so the handler is
+        # cancelled when an empty read shows that the client has closed the connection.
+        while len(self._pipelined) < MAX_PIPELINED_BYTES:
             try:
                 data = await self._stream.receive_some(READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -228,7 +234,7 @@
             if not data:
                 scope.cancel()
                 return
-            self._early += bytes(data)
+            self._pipelined += bytes(data)
 
     async def _send(self, response: HttpResponse, close: bool = False) -> None:
         headers = [(b"Content-Length", b"%d" % len(response.body)), *response.fields]
@@ -248,20 +254,20 @@
         with trio.move_on_after(self._limits.request_timeout / SECOND):
             await self._stream.send_all(data)
             return
-        raise trio.BrokenResourceError("the client does not read its answer")
+        raise trio.BrokenResourceError("client did not read its response within the timeout")
 
 
-def round_trip_of(stream: trio.SocketStream) -> Millis:
-    """Return the round trip of a connection in milliseconds; 0 if the kernel does not tell."""
+def measure_round_trip(stream: trio.SocketStream) -> Millis:
+    """Return the round-trip time of a connection in milliseconds; 0 if it is not available."""
     try:
         info = stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except (OSError, AttributeError):
-        # Not a TCP socket, as in tests; the figure only moves the moment of an answer a little.
+        # Not a TCP socket, as in tests. The value only shifts the time of a response slightly.
         return 0.0
     if len(info) < RTT_OFFSET + 4:
         return 0.0
-    (micros,) = struct.unpack_from("=I", info, RTT_OFFSET)
-    return float(micros) / 1000.0
+    (rtt_us,) = struct.unpack_from("=I", info, RTT_OFFSET)
+    return float(rtt_us) / 1000.0
 
 
 def _to_request(
@@ -270,7 +276,7 @@
     try:
         target = head.target.decode("ascii")
     except ValueError as exc:
-        raise _refused(ErrorKind.BAD_REQUEST, f"the target is no path: {exc}") from exc
+        raise _request_error(ErrorKind.BAD_REQUEST, f"invalid request target: {exc}") from exc
     path, query = parse_target(target)
     headers = {name.decode("ascii"): value.decode("latin-1") for name, value in head.headers}
     method = head.method.decode("ascii")
@@ -281,17 +287,17 @@
 
 
 def parse_target(target: str) -> tuple[str, dict[str, str]]:
-    """Return the path of a request's target, and its parameters.
+    """Split a request's target into its path and its query parameters.
 
     Raises:
-        AlderhatchError: With kind ``bad_request``, if it is neither.
+        AlderhatchError: With kind ``bad_request``, if the target is invalid.
     """
     try:
         parts = urlsplit(target)
         return parts.path, dict(parse_qsl(parts.query, keep_blank_values=True))
     except ValueError as exc:
-        raise _refused(ErrorKind.BAD_REQUEST, f"the target is no path: {exc}") from exc
+        raise _request_error(ErrorKind.BAD_REQUEST, f"invalid request target: {exc}") from exc
 
 
-def _refused(kind: ErrorKind, message: str) -> AlderhatchError:
+def _request_error(kind: ErrorKind, message: str) -> AlderhatchError:
     return AlderhatchError(Failure(kind, message))
--- a/src/alderhatch/platform/__init__.py
+++ b/src/alderhatch/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The users' platform: its settings, its protocol and its list of servers, translated.
+"""Adapter to the users' platform: its settings, HTTP protocol and list of servers.
 
-Nothing outside this package knows a name of the platform; nothing inside it decides anything.
+The platform's names occur only in this package. The package translates and makes no decisions.
 """
 
 from __future__ import annotations
--- a/src/alderhatch/platform/__main__.py
+++ b/src/alderhatch/platform/__main__.py
@@ -4,14 +4,15 @@
 import signal
 import sys
 
-# Until the program watches its settings, SIGHUP would end it; and it may come at any moment, also
-# while the modules are still being loaded, which takes a third of a second. The settings are read
-# after that, so nothing is missed. The programs of other tests and tools keep their own handling,
-# as only this module is run and never imported.
+# By default SIGHUP ends the process, and it may arrive before the program watches its settings, for
+# example while modules are being loaded, which takes a third of a second. It can be ignored until
+# then, because the settings are read after the modules are loaded. This module is run and never
+# imported, so programs of other tests and tools keep their own signal handling.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-# Loading the modules makes objects that all stay. Collections in between find nothing to free, and
-# after a restart of all hosts callers wait for each millisecond of it.
+# All objects that are created while modules are loaded live as long as the process, so garbage
+# collections in that phase free nothing. They would only delay the start, and after a restart of
+# all hosts callers wait for it.
 gc.disable()
 
 from .program import main  # noqa: E402
--- a/src/alderhatch/platform/configuration.py
+++ b/src/alderhatch/platform/configuration.py
@@ -1,4 +1,4 @@
-"""An operator's configuration as the platform writes it."""
+"""Parser of the operator's configuration in the platform's JSON format."""
 
 from __future__ import annotations
 
@@ -22,146 +22,153 @@
 )
 from ..errors import AlderhatchError, ErrorKind, Failure
 
-IDEMPOTENT = "safe"
-"""The word for requests that may run more than once; whatever else stands there may not."""
-DEFAULT_TIMEOUT = 30_000
+IDEMPOTENT_ROUTE_TYPE = "safe"
+"""The ``route-type`` of idempotent requests. Requests of any other type are not idempotent."""
+DEFAULT_TIMEOUT_MS = 30_000
 DEFAULT_PRIORITY = 1
 DEFAULT_CONNECTIONS = 16
 
 
 def decode_configuration(document: bytes) -> TierConfiguration:
-    """Read a whole configuration.
+    """Decode and validate a configuration.
 
     Args:
         document: The JSON body as the operator sent it.
 
     Raises:
-        AlderhatchError: With kind ``bad_request``, naming the field that is wrong.
+        AlderhatchError: With kind ``bad_request``, naming the invalid field.
     """
     try:
         raw = orjson.loads(document)
     except orjson.JSONDecodeError as exc:
         raise _invalid("", f"not JSON: {exc}") from exc
-    top = _Table(raw, "")
-    version = top.integer("version")
-    upstreams = tuple(_upstream(one) for one in top.tables("services"))
-    known = {one.name for one in upstreams}
-    routes = tuple(_route(one, known) for one in top.tables("routes"))
-    _check_places(routes)
-    return TierConfiguration(version, routes, upstreams, _limits(top))
+    root = _JsonObject(raw, "")
+    version = root.integer("version")
+    upstreams = tuple(_upstream(service) for service in root.objects("services"))
+    upstream_names = {settings.name for settings in upstreams}
+    routes = tuple(_route(raw_route, upstream_names) for raw_route in root.objects("routes"))
+    _check_unique_routes(routes)
+    return TierConfiguration(version, routes, upstreams, _limits(root))
 
 
-class _Table:
+class _JsonObject:
     """A JSON object whose fields are checked as they are read."""
 
-    def __init__(self, raw: object, where: str) -> None:
+    def __init__(self, raw: object, path: str) -> None:
         if not isinstance(raw, Mapping):
-            raise _invalid(where, "an object is wanted")
+            raise _invalid(path, "expected an object")
         self.raw: Mapping[str, Any] = raw
-        self._where = where
+        self._path = path
 
-    def place(self, name: str) -> str:
+    def field_path(self, name: str) -> str:
         """Return the dotted path of a field."""
-        return f"{self._where}.{name}" if self._where else name
+        return f"{self._path}.{name}" if self._path else name
 
     def has(self, name: str) -> bool:
         return self.raw.get(name) is not None
 
-    def text(self, name: str) -> str:
+    def string(self, name: str) -> str:
         value = self.raw.get(name)
         if not isinstance(value, str) or not value:
-            raise _invalid(self.place(name), "a text is wanted")
+            raise _invalid(self.field_path(name), "expected a non-empty string")
         return value
 
     def number(self, name: str, default: float | None = None) -> float:
         value = self.raw.get(name, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
-            raise _invalid(self.place(name), "a number that is not negative is wanted")
+            raise _invalid(self.field_path(name), "expected a number of 0 or more")
         return value
 
     def integer(self, name: str, default: int | None = None) -> int:
         value = self.number(name, default)
         if value != int(value):
-            raise _invalid(self.place(name), "a whole number is wanted")
+            raise _invalid(self.field_path(name), "expected an integer")
         return int(value)
 
-    def tables(self, name: str) -> list[_Table]:
+    def objects(self, name: str) -> list[_JsonObject]:
         value = self.raw.get(name)
         if not isinstance(value, list):
-            raise _invalid(self.place(name), "a list is wanted")
-        return [_Table(one, f"{self.place(name)}.{index}") for index, one in enumerate(value)]
+            raise _invalid(self.field_path(name), "expected a list")
+        return [
+            _JsonObject(item, f"{self.field_path(name)}.{index}")
+            for index, item in enumerate(value)
+        ]
 
-    def texts(self, name: str) -> tuple[str, ...]:
+    def strings(self, name: str) -> tuple[str, ...]:
         value = self.raw.get(name)
-        if not isinstance(value, list) or not all(isinstance(one, str) for one in value):
-            raise _invalid(self.place(name), "a list of texts is wanted")
+        if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
+            raise _invalid(self.field_path(name), "expected a list of strings")
         return tuple(value)
 
 
-def _route(table: _Table, known: set[str]) -> Route:
-    timeout = table.integer("timeout-ms", DEFAULT_TIMEOUT)
+def _route(obj: _JsonObject, upstream_names: set[str]) -> Route:
+    timeout = obj.integer("timeout-ms", DEFAULT_TIMEOUT_MS)
     if timeout == 0:
-        raise _invalid(table.place("timeout-ms"), "a timeout is longer than 0")
+        raise _invalid(obj.field_path("timeout-ms"), "expected a timeout above 0, got 0")
     route = Route(
-        name=table.text("name"),
-        host=table.text("host").lower(),
-        path_prefix=table.text("path-prefix"),
-        idempotent=table.raw.get("route-type") == IDEMPOTENT or table.has("gather"),
-        destination=_destination(table),
-        max_servers=max(1, table.integer("max-attempts", 1)),
+        name=obj.string("name"),
+        host=obj.string("host").lower(),
+        path_prefix=obj.string("path-prefix"),
+        idempotent=obj.raw.get("route-type") == IDEMPOTENT_ROUTE_TYPE or obj.has("gather"),
+        destination=_destination(obj),
+        max_servers=max(1, obj.integer("max-attempts", 1)),
         timeout=float(timeout),
-        target_latency=float(table.number("target-latency-ms", timeout)),
-        rank=table.integer("priority", DEFAULT_PRIORITY),
+        target_latency=float(obj.number("target-latency-ms", timeout)),
+        rank=obj.integer("priority", DEFAULT_PRIORITY),
     )
     for upstream in route.upstreams:
-        if upstream not in known:
-            raise _invalid(table.place("service"), f"there is no service {upstream!r}")
+        if upstream not in upstream_names:
+            raise _invalid(obj.field_path("service"), f"unknown service {upstream!r}")
     return route
 
 
-def _destination(table: _Table) -> Destination:
-    if table.has("gather"):
-        shards = table.texts("gather")
+def _destination(obj: _JsonObject) -> Destination:
+    if obj.has("gather"):
+        shards = obj.strings("gather")
         if not shards or len(set(shards)) != len(shards):
-            raise _invalid(table.place("gather"), "different services are wanted")
-        coverage = table.number("min-coverage", 1.0)
-        return AllShards(shards, table.integer("top-k", 0), float(coverage))
-    if table.has("traffic-split"):
-        parts = tuple(
-            WeightedUpstream(one.text("service"), float(one.number("weight")))
-            for one in table.tables("traffic-split")
+            raise _invalid(
+                obj.field_path("gather"), "expected a non-empty list of distinct services"
+            )
+        coverage = obj.number("min-coverage", 1.0)
+        return AllShards(shards, obj.integer("top-k", 0), float(coverage))
+    if obj.has("traffic-split"):
+        weighted_upstreams = tuple(
+            WeightedUpstream(item.string("service"), float(item.number("weight")))
+            for item in obj.objects("traffic-split")
         )
-        if sum(part.weight for part in parts) <= 0:
-            raise _invalid(table.place("traffic-split"), "the weights add up to 0")
-        return SplitUpstreams(parts)
-    return OneUpstream(table.text("service"))
+        if sum(weighted.weight for weighted in weighted_upstreams) <= 0:
+            raise _invalid(
+                obj.field_path("traffic-split"), "expected a sum of weights above 0, got 0"
+            )
+        return SplitUpstreams(weighted_upstreams)
+    return OneUpstream(obj.string("service"))
 
 
-def _upstream(table: _Table) -> UpstreamSettings:
-    connections = max(1, table.integer("max-connections", DEFAULT_CONNECTIONS))
-    cold_span = table.number("warmup-s", 0.0) * SECOND
-    cold_rate = table.number("warmup-per-s") if table.has("warmup-per-s") else None
-    return UpstreamSettings(table.text("name"), connections, cold_span, cold_rate)
+def _upstream(obj: _JsonObject) -> UpstreamSettings:
+    connections = max(1, obj.integer("max-connections", DEFAULT_CONNECTIONS))
+    cold_duration = obj.number("warmup-s", 0.0) * SECOND
+    cold_rate = obj.number("warmup-per-s") if obj.has("warmup-per-s") else None
+    return UpstreamSettings(obj.string("name"), connections, cold_duration, cold_rate)
 
 
-def _limits(top: _Table) -> CallerLimits:
-    if not top.has("limits"):
+def _limits(root: _JsonObject) -> CallerLimits:
+    if not root.has("limits"):
         return CallerLimits()
-    table = _Table(top.raw["limits"], "limits")
-    usual = CallerLimits()
+    obj = _JsonObject(root.raw["limits"], "limits")
+    defaults = CallerLimits()
     return CallerLimits(
-        table.integer("max-header-bytes", usual.head_bytes),
-        table.integer("max-body-bytes", usual.body_bytes),
-        float(table.number("header-timeout-ms", usual.head_timeout)),
-        float(table.number("idle-timeout-ms", usual.idle_timeout)),
+        obj.integer("max-header-bytes", defaults.head_bytes),
+        obj.integer("max-body-bytes", defaults.body_bytes),
+        float(obj.number("header-timeout-ms", defaults.head_timeout)),
+        float(obj.number("idle-timeout-ms", defaults.idle_timeout)),
     )
 
 
-def _check_places(routes: tuple[Route, ...]) -> None:
-    places = Counter((route.host, route.path_prefix) for route in routes)
+def _check_unique_routes(routes: tuple[Route, ...]) -> None:
+    route_counts = Counter((route.host, route.path_prefix) for route in routes)
     for index, route in enumerate(routes):
-        if places[(route.host, route.path_prefix)] > 1:
-            message = f"another route has host {route.host!r} and prefix {route.path_prefix!r} too"
+        if route_counts[(route.host, route.path_prefix)] > 1:
+            message = f"another route also has host {route.host!r} and prefix {route.path_prefix!r}"
             raise _invalid(f"routes.{index}.path-prefix", message)
 
 
--- a/src/alderhatch/platform/dialect.py
+++ b/src/alderhatch/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Requests and answers as callers and servers of the platform speak them."""
+"""The HTTP protocol that callers and servers of the platform use."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 
 
 class PlatformDialect:
-    """Reads and writes the platform's messages."""
+    """Translates between the platform's HTTP messages and those of the node."""
 
     def read_request(self, req: HttpRequest) -> CallerRequest:
-        """Take a caller's request apart.
+        """Parse a caller's request.
 
         Raises:
-            AlderhatchError: Naming the header field that is wrong.
+            AlderhatchError: Naming the invalid header field.
         """
         request_id = req.headers.get("attempt-id", "")
-        left = req.headers.get("time-budget-ms")
+        time_budget = req.headers.get("time-budget-ms")
         try:
-            time_left = None if left is None else float(left)
+            time_left = None if time_budget is None else float(time_budget)
         except ValueError as exc:
-            message = f"not a number of milliseconds: {left!r}"
+            message = f"expected a number of milliseconds, got {time_budget!r}"
             raise AlderhatchError(
                 Failure(ErrorKind.BAD_REQUEST, message, "Time-Budget-Ms")
             ) from exc
         host = req.headers.get("host", "").lower().partition(":")[0]
-        return CallerRequest(req, host, request_id, time_left, _passed_on(req.fields))
+        return CallerRequest(req, host, request_id, time_left, _forwarded_fields(req.fields))
 
     def server_fields(self, req: CallerRequest, server_id: str, time_left: Millis) -> HeaderFields:
-        """Return the header fields with which a request is sent to a server."""
+        """Return the header fields of the request to a server."""
         return [
             *req.forwarded_fields,
             (wire.TIME_LEFT, b"%d" % time_left),
@@ -50,17 +50,19 @@
         ]
 
     def read_answer(self, req: CallerRequest, reply: HttpReply) -> ParsedAnswer:
-        """Return what a server's answer means."""
-        echo = reply.header(wire.REQUEST_ID)
-        # An extra answer to an earlier request may come where this one's is expected. Whoever took
-        # it would hand a caller somebody else's data; only the echoed id tells them apart.
-        # Refusals come without it.
-        is_foreign = (
-            reply.status < 300 if echo is None else echo.decode("latin-1") != req.request_id
+        """Classify a server's answer."""
+        echoed_id = reply.header(wire.REQUEST_ID)
+        # A faulty server may repeat the answer to an earlier request in place of this one. Only
+        # the echoed request ID tells them apart; without the check a caller would receive the data
+        # of another caller. Refusals have no request ID.
+        is_mismatched = (
+            reply.status < 300
+            if echoed_id is None
+            else echoed_id.decode("latin-1") != req.request_id
         )
-        if is_foreign:
+        if is_mismatched:
             return ParsedAnswer(AttemptFault.WRONG_ANSWER)
-        load = _load(reply)
+        load = _load_report(reply)
         if reply.status == 421:
             return ParsedAnswer(AttemptFault.MOVED, load)
         if reply.header(wire.NOT_RUN) is not None:
@@ -72,74 +74,84 @@
         return ParsedAnswer(None, load)
 
     def bundle(self, destination: AllShards, replies: Mapping[str, HttpReply]) -> PartsBundle:
-        """Return the answers of some shards, by their names, merged."""
+        """Merge the answers of several shards.
+
+        Args:
+            destination: The gather that the shards belong to.
+            replies: The answers, keyed by shard name.
+        """
         signatures = tuple(reply.header(wire.SEAL) or b"" for reply in replies.values())
         records = merge_top_k((reply.body for reply in replies.values()), destination.top_k)
         return PartsBundle(tuple(replies), signatures, records)
 
     def response(self, route: Route, outcome: Outcome) -> HttpResponse:
-        """Return the caller's response for an outcome."""
+        """Return the response that the caller receives for an outcome."""
         match outcome:
             case Answered(parts, missing):
                 replies = cast(dict[str, HttpReply], parts)
                 if isinstance(route.destination, AllShards):
-                    whole = self.bundle(route.destination, replies)
-                    return _merged(route.destination, [whole], missing)
-                return _passed_back(next(iter(replies.values())))
+                    merged = self.bundle(route.destination, replies)
+                    return _merged_response(route.destination, [merged], missing)
+                return _server_response(next(iter(replies.values())))
             case Gathered(bundles, missing):
-                return _merged(cast(AllShards, route.destination), bundles, missing)
+                return _merged_response(cast(AllShards, route.destination), bundles, missing)
             case NotRun(_, retry_after):
-                return refusal(503, outcome.reason, retry_after)
-            case Failed(_, answer) if answer is not None and not _is_scatter(route):
-                return _passed_back(cast(HttpReply, answer))
+                return refusal_response(503, outcome.reason, retry_after)
+            case Failed(_, answer) if answer is not None and not _is_gather(route):
+                return _server_response(cast(HttpReply, answer))
             case Failed(reason):
                 status = 504 if reason is FailureReason.TIMEOUT else 502
                 return HttpResponse(status, reason.encode("ascii"), "text/plain")
 
 
-def refusal(status: int, reason: str, retry_after: Millis) -> HttpResponse:
-    """Return a response that says that nothing ran and when to come back."""
+def refusal_response(status: int, reason: str, retry_after: Millis) -> HttpResponse:
+    """Return the response to a request that did not run, with the time after which to retry."""
     seconds = f"{retry_after / SECOND:.3f}"
     headers = ((wire.RETRY_AFTER.decode("ascii"), seconds),)
     return HttpResponse(status, reason.encode("ascii"), "text/plain", headers)
 
 
-def _is_scatter(route: Route) -> bool:
+def _is_gather(route: Route) -> bool:
     return isinstance(route.destination, AllShards)
 
 
-def _passed_on(fields: HeaderFields) -> HeaderFields:
-    named = b",".join(value for name, value in fields if name == b"connection").lower()
-    dropped = {one.strip() for one in named.split(b",")} - {wire.REQUEST_ID, b"host"}
+def _forwarded_fields(fields: HeaderFields) -> HeaderFields:
+    connection_options = b",".join(value for name, value in fields if name == b"connection").lower()
+    hop_by_hop = {option.strip() for option in connection_options.split(b",")} - {
+        wire.REQUEST_ID,
+        b"host",
+    }
     return [
         (name, value)
         for name, value in fields
-        if name not in wire.CONNECTION_FIELDS
-        and name not in wire.OWN_FIELDS
-        and name not in dropped
+        if name not in wire.HOP_BY_HOP_FIELDS
+        and name not in wire.REPLACED_FIELDS
+        and name not in hop_by_hop
     ]
 
 
-def _merged(destination: AllShards, bundles: Sequence[PartsBundle], missing: int) -> HttpResponse:
+def _merged_response(
+    destination: AllShards, bundles: Sequence[PartsBundle], missing: int
+) -> HttpResponse:
     body = merge_top_k((bundle.records for bundle in bundles), destination.top_k)
-    seals = b", ".join(one for bundle in bundles for one in bundle.signatures)
+    seals = b", ".join(seal for bundle in bundles for seal in bundle.signatures)
     fields = [(wire.SEALS_OF_PARTS, seals), (wire.MISSING_SHARDS, b"%d" % missing)]
     return HttpResponse(200, body, BINARY, (), fields)
 
 
-def _passed_back(reply: HttpReply) -> HttpResponse:
-    fields = [(name, value) for name, value in reply.headers if name not in wire.CONNECTION_FIELDS]
+def _server_response(reply: HttpReply) -> HttpResponse:
+    fields = [(name, value) for name, value in reply.headers if name not in wire.HOP_BY_HOP_FIELDS]
     return HttpResponse(reply.status, reply.body, None, (), fields)
 
 
-def _load(reply: HttpReply) -> LoadReport | None:
+def _load_report(reply: HttpReply) -> LoadReport | None:
     value = reply.header(wire.LOAD)
     if value is None:
         return None
     try:
-        running, waiting, *_ = (int(one) for one in value.split(b","))
+        running, waiting, *_ = (int(number) for number in value.split(b","))
     except ValueError:
-        # The figure only helps the choice of servers; an answer that is good without it stays so.
+        # The load only improves the choice of servers, so the answer is valid without it.
         return None
     return LoadReport(running, waiting)
 
@@ -149,5 +161,5 @@
     try:
         return None if value is None else max(0.0, float(value) * SECOND)
     except ValueError:
-        # A date or nonsense: the product's own pause for servers that refuse is used instead.
+        # A date or an invalid value. The node then uses its own pause for servers that refuse.
         return None
--- a/src/alderhatch/platform/edge.py
+++ b/src/alderhatch/platform/edge.py
@@ -1,4 +1,4 @@
-"""The platform's calls to a node, by their paths."""
+"""HTTP endpoints of a node for the platform, its callers and its operators."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 from ..http.messages import HttpRequest, HttpResponse, failure_response, json_response
 from ..node.node import EdgeHandlers, Node
 from .configuration import decode_configuration
-from .dialect import refusal
+from .dialect import refusal_response
 
-ADDRESSES_LAST_S = 1.3
-"""How long callers may keep an answer; some keep it three times as long, which is still shorter
-than a stopping node serves on."""
+ADDRESSES_TTL_S = 1.3
+"""How long callers may cache the addresses. Some cache them three times as long, which is still
+shorter than the time for which a stopping node continues to serve."""
 RETRY_AFTER_MS = 250.0
 READINESS = "/-/readiness"
 ADDRESSES = "/-/resolve"
 CONFIGURATION = "/-/config"
 EVACUATION = "/-/evacuation/"
-"""An availability zone's name follows."""
+"""Prefix of the path; the name of an availability zone follows."""
 VERSION = "version"
 
 
 class PlatformEdge:
-    """Answers the platform's calls by asking the node."""
+    """Answers the platform's HTTP requests from the node."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     def handlers(self) -> EdgeHandlers:
-        """Return what answers on the node's ports."""
+        """Return the handlers for the node's ports."""
         return EdgeHandlers(self.caller, self.addresses, self.readiness, self.operator)
 
     async def caller(self, req: HttpRequest) -> HttpResponse:
@@ -36,86 +36,87 @@
             return await self._node.callers.handle(req)
         except AlderhatchError as exc:
             failure = exc.failure
-            # The platform takes a 422 of ours for a denial of what its configuration allows.
-            is_held_back = failure.kind is ErrorKind.QUARANTINED
-            if is_held_back or failure.answer.status in (429, 503):
-                return refusal(503, failure.kind, failure.retry_after_ms or RETRY_AFTER_MS)
+            # The platform would take a 422 for the denial of a request that its configuration
+            # allows, so a quarantined request is answered with 503.
+            is_quarantined = failure.kind is ErrorKind.QUARANTINED
+            if is_quarantined or failure.answer.status in (429, 503):
+                return refusal_response(503, failure.kind, failure.retry_after_ms or RETRY_AFTER_MS)
             return failure_response(failure)
 
     async def addresses(self, req: HttpRequest) -> HttpResponse:
-        """Tell a caller which addresses to use."""
+        """Return the addresses that a caller should send requests to."""
         if req.path != ADDRESSES:
-            return _unknown(req)
-        found = self._node.callers.addresses(req.query.get("zone", ""))
-        if not found:
-            return refusal(503, "no host serves yet", RETRY_AFTER_MS)
-        return json_response(200, {"addrs": found, "ttl_s": ADDRESSES_LAST_S})
+            return _not_found(req)
+        addresses_found = self._node.callers.addresses(req.query.get("zone", ""))
+        if not addresses_found:
+            return refusal_response(503, "no host is serving requests yet", RETRY_AFTER_MS)
+        return json_response(200, {"addrs": addresses_found, "ttl_s": ADDRESSES_TTL_S})
 
     async def readiness(self, req: HttpRequest) -> HttpResponse:
-        """Tell whether this node wants callers."""
+        """Report whether this node accepts requests of callers."""
         if req.path != READINESS:
-            return _unknown(req)
+            return _not_found(req)
         return json_response(200 if self._node.ready else 503, {})
 
     async def operator(self, req: HttpRequest) -> HttpResponse:
-        """Take or show the configuration, or an order about an availability zone."""
+        """Change or return the configuration, or start or end the evacuation of a zone."""
         if req.path.startswith(EVACUATION):
             return await self._evacuation(req)
         if req.path != CONFIGURATION:
-            return _unknown(req)
+            return _not_found(req)
         match req.method:
             case "PUT":
                 return await self._put(req)
             case "GET":
                 return await self._get()
             case _:
-                return _unknown(req)
+                return _not_found(req)
 
     async def _put(self, req: HttpRequest) -> HttpResponse:
         cfg = decode_configuration(req.body)
         try:
             in_force = await self._node.configuration_service.put(cfg.version, req.body)
         except AlderhatchError as exc:
-            return self._elsewhere(exc, req.path)
+            return self._redirect_to_leader(exc, req.path)
         return json_response(200, {VERSION: in_force})
 
     async def _evacuation(self, req: HttpRequest) -> HttpResponse:
         zone = req.path.removeprefix(EVACUATION)
         zones = self._node.cfg.zones
         if req.method not in ("POST", "DELETE"):
-            return _unknown(req)
+            return _not_found(req)
         if zone not in zones:
-            message = f"zone: there is no availability zone {zone!r}"
+            message = f"zone: unknown availability zone {zone!r}"
             return failure_response(Failure(ErrorKind.NOT_FOUND, message, "zone"))
         if req.body:
-            message = "body: the order takes none"
+            message = "body: expected an empty body"
             return failure_response(Failure(ErrorKind.BAD_REQUEST, message, "body"))
         try:
             evacuated = await self._node.configuration_service.evacuate(zone, req.method == "POST")
         except AlderhatchError as exc:
-            return self._elsewhere(exc, req.path)
-        left = sorted(zones - set(evacuated))
-        return json_response(200, {"evacuated": list(evacuated), "left": left})
+            return self._redirect_to_leader(exc, req.path)
+        not_evacuated = sorted(zones - set(evacuated))
+        return json_response(200, {"evacuated": list(evacuated), "left": not_evacuated})
 
     async def _get(self) -> HttpResponse:
         try:
             stored = await self._node.configuration_service.read()
         except AlderhatchError as exc:
-            return self._elsewhere(exc, CONFIGURATION)
+            return self._redirect_to_leader(exc, CONFIGURATION)
         if stored.version == 0:
-            return refusal(503, "there is no configuration yet", RETRY_AFTER_MS)
+            return refusal_response(503, "no configuration has been stored yet", RETRY_AFTER_MS)
         return HttpResponse(200, stored.document)
 
-    def _elsewhere(self, exc: AlderhatchError, path: str) -> HttpResponse:
-        """Send an operator on to the leader if there is another one, else ask it to come back."""
+    def _redirect_to_leader(self, exc: AlderhatchError, path: str) -> HttpResponse:
+        """Redirect an operator to the leader if that is another host, else answer 503."""
         leader = self._node.leader
         cfg = self._node.cfg
-        is_elsewhere = leader is not None and leader.address != cfg.address
-        if exc.failure.kind is ErrorKind.NO_LEADER and leader is not None and is_elsewhere:
-            where = f"http://{leader.address}:{cfg.ports.operators}{path}"
-            return HttpResponse(307, b"{}", headers=(("Location", where),))
-        return refusal(503, exc.failure.kind, RETRY_AFTER_MS)
+        is_remote = leader is not None and leader.address != cfg.address
+        if exc.failure.kind is ErrorKind.NO_LEADER and leader is not None and is_remote:
+            location = f"http://{leader.address}:{cfg.ports.operators}{path}"
+            return HttpResponse(307, b"{}", headers=(("Location", location),))
+        return refusal_response(503, exc.failure.kind, RETRY_AFTER_MS)
 
 
-def _unknown(req: HttpRequest) -> HttpResponse:
-    return failure_response(Failure(ErrorKind.NOT_FOUND, f"nothing at {req.method} {req.path}"))
+def _not_found(req: HttpRequest) -> HttpResponse:
+    return failure_response(Failure(ErrorKind.NOT_FOUND, f"no resource at {req.method} {req.path}"))
--- a/src/alderhatch/platform/program.py
+++ b/src/alderhatch/platform/program.py
@@ -1,4 +1,4 @@
-"""The program that the platform starts on each of its machines."""
+"""Main program of the node, which the platform starts on each of its machines."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 SETTINGS_VARIABLE = "ALDERHATCH_SETTINGS"
 POLICY_VARIABLE = "ALDERHATCH_POLICY"
-"""Numbers of the policy that differ from the usual ones, to see what a mechanism is worth."""
+"""Overrides of policy values, used to measure the effect of single mechanisms."""
 SETTINGS_PATH = "/etc/alderhatch/settings.conf"
-PROGRAM = "alderhatch-node"
-CANNOT_START = 2
+PROGRAM_NAME = "alderhatch-node"
+EXIT_CANNOT_START = 2
 
 
 def main() -> int:
-    """Run the node until it is stopped; return the exit code."""
-    set_up_bounded_logs(PROGRAM, sys.stdout.fileno())
+    """Run the node until it is stopped and return the exit code."""
+    set_up_bounded_logs(PROGRAM_NAME, sys.stdout.fileno())
     path = Path(os.environ.get(SETTINGS_VARIABLE, SETTINGS_PATH))
     try:
         cfg = read_settings(path)
         policy = change_policy(cfg.node.policy, os.environ.get(POLICY_VARIABLE, ""))
     except (AlderhatchError, OSError) as exc:
         log_event(LogEvent.PROGRAM_CANNOT_START, why=str(exc))
-        return CANNOT_START
-    log_output = set_up_bounded_logs(PROGRAM, sys.stdout.fileno(), host=cfg.node.name)
+        return EXIT_CANNOT_START
+    log_output = set_up_bounded_logs(PROGRAM_NAME, sys.stdout.fileno(), host=cfg.node.name)
     source = PlatformServerList(cfg.list_address, cfg.list_port)
     settings = cfg.node._replace(process_started=PROCESS_STARTED, policy=policy)
     node = Node(settings, PlatformDialect(), decode_configuration, source, log_output)
--- a/src/alderhatch/platform/server_list.py
+++ b/src/alderhatch/platform/server_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of running servers."""
+"""Client of the platform's list of running servers."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from ..http.exchange import HttpExchangeError, HttpReply
 from ..node.server_list import ListUnavailableError
 
-CALL_TIMEOUT: Millis = 700.0
-"""For one page; the next reading is due soon after."""
+PAGE_TIMEOUT: Millis = 700.0
+"""Longest time for one page. The list is read again shortly afterwards."""
 MAX_PAGES = 200
 
 
 class PlatformServerList:
-    """Reads all pages of the list over a connection that is kept.
+    """Reads all pages of the list over a persistent connection.
 
     Args:
-        address: The list's IP address.
-        port: Its port.
+        address: IP address of the list's service.
+        port: TCP port of the list's service.
     """
 
     def __init__(self, address: str, port: int) -> None:
@@ -33,30 +33,32 @@
         self._conn: HttpConnection | None = None
 
     async def read(self) -> list[ServerRecord]:
-        """Return all servers that are listed.
+        """Return all servers of the list, without entries that can't be parsed.
 
         Raises:
-            ListUnavailableError: If not every page can be read.
+            ListUnavailableError: If any page can't be read.
         """
         records: list[ServerRecord] = []
         token = ""
         for _ in range(MAX_PAGES):
-            page = _page(await self._call(token))
-            records += [one for one in map(read_server, page["instances"]) if one is not None]
-            following = page.get("next-token")
-            if not isinstance(following, str) or not following:
+            page = _parse_page(await self._fetch_page(token))
+            records += [
+                server for server in map(parse_server, page["instances"]) if server is not None
+            ]
+            next_token = page.get("next-token")
+            if not isinstance(next_token, str) or not next_token:
                 return records
-            token = following
+            token = next_token
         raise ListUnavailableError(f"the list has more than {MAX_PAGES} pages")
 
-    async def _call(self, token: str) -> bytes:
+    async def _fetch_page(self, token: str) -> bytes:
         target = f"/instances?page-token={quote(token)}" if token else "/instances"
         try:
             reply = await self._exchange(target)
         except HttpExchangeError as exc:
             raise ListUnavailableError(str(exc)) from exc
         if reply.status != 200:
-            raise ListUnavailableError(f"status {reply.status}")
+            raise ListUnavailableError(f"expected status 200, got {reply.status}")
         return reply.body
 
     async def _exchange(self, target: str) -> HttpReply:
@@ -65,9 +67,9 @@
         if conn is None or not conn.alive:
             if conn is not None:
                 conn.close()
-            conn = await open_http(self._address, self._port, CALL_TIMEOUT)
+            conn = await open_http(self._address, self._port, PAGE_TIMEOUT)
         try:
-            reply = await exchange_within(conn, CALL_TIMEOUT, "GET", target)
+            reply = await exchange_within(conn, PAGE_TIMEOUT, "GET", target)
         finally:
             if conn.usable:
                 self._conn = conn
@@ -76,30 +78,30 @@
         return reply
 
 
-def _page(body: bytes) -> dict[str, Any]:
+def _parse_page(body: bytes) -> dict[str, Any]:
     try:
         page = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
         raise ListUnavailableError(f"not JSON: {exc}") from exc
     if not isinstance(page, dict) or not isinstance(page.get("instances"), list):
-        raise ListUnavailableError("the list has no entries")
+        raise ListUnavailableError("expected an object with a list in 'instances'")
     return page
 
 
-def read_server(raw: object) -> ServerRecord | None:
-    """Return the server that an entry names, or None if the entry can't be used.
+def parse_server(raw: object) -> ServerRecord | None:
+    """Return the server of a list entry, or None if the entry is invalid.
 
-    Entries may come from another writer, with fields missing or of another type. Such an entry
-    names no server; it must not spoil the others.
+    Entries may come from other writers, with fields missing or of another type. An invalid entry
+    is ignored and must not affect the others.
     """
     if not isinstance(raw, dict):
         return None
     texts = [raw.get(name) for name in ("instance-id", "service", "address", "zone")]
-    named = [text for text in texts if isinstance(text, str) and text]
-    if len(named) < len(texts):
+    present = [text for text in texts if isinstance(text, str) and text]
+    if len(present) < len(texts):
         return None
-    server_id, upstream, where, zone = named
-    address, _, port = where.rpartition(":")
+    server_id, upstream, endpoint, zone = present
+    address, _, port = endpoint.rpartition(":")
     slots = raw.get("max-concurrency")
     state = raw.get("state")
     if not address or not port.isdecimal() or not 0 < int(port) < 65536:
--- a/src/alderhatch/platform/settings.py
+++ b/src/alderhatch/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes: lines of the form ``a.b=value``."""
+"""Parser of the platform's settings file, which has lines of the form ``a.b=value``."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from ..node.tier_messages import Place
 
 LINK_SECRET = b"alderhatch tier on a closed network"
-"""The platform hands out no secret; its network lets only its own machines in."""
+"""The platform provides no secret. Its network admits only its own machines."""
 METRICS_OFFSET = 1
-"""The metrics are on the second internal port; the links between hosts are on the first."""
+"""Metrics use the second internal port; links between hosts use the first."""
 POLICY = Policy(
     first_latency_ms=20.0,
     report_age_ms=100.0,
@@ -27,16 +27,19 @@
     latency_weight=0.25,
     eject_failures=2,
 )
-"""A host asks each server only some two times a second. So an answer weighs more than where servers
-are asked all the time, and two failures in a row are enough: with the usual 0.05 and 3 a server
-that turned slow or silent would be noticed after some 10 s. A server of another zone is asked only
-if the near one stands still, is out of order or far behind: what crosses between zones is the
-largest part of a request's cost, and a part that comes a little later is as good as long as it is
-in when the answer is due. One that fails or refuses a fifth of its requests is not worth that."""
+"""Policy for the platform's traffic.
+
+A host queries each server only about twice a second. Each answer therefore has a higher weight
+than the default, and two consecutive failures eject a server: with the defaults of 0.05 and 3, a
+server that became slow or silent would be detected after about 10 s. Traffic between zones is the
+largest part of a request's cost, and a shard's answer may come late as long as it arrives before
+the merged answer is due. A server of another zone is therefore queried only if the local one
+stalls, fails or is far slower. A server that fails or refuses a fifth of its requests does not
+justify the cost of the other zone."""
 
 
 class PlatformSettings(NamedTuple):
-    """What the platform tells a process at its start."""
+    """Settings that the platform gives to a process at its start."""
 
     node: NodeSettings
     list_address: str
@@ -44,24 +47,24 @@
 
 
 def read_settings(path: Path) -> PlatformSettings:
-    """Read the settings file.
+    """Read and parse the settings file.
 
     Raises:
-        AlderhatchError: Naming the key that is missing or wrong.
+        AlderhatchError: Naming the missing or invalid key.
         OSError: If the file can't be read.
     """
     return parse_settings(path.read_text())
 
 
 def parse_settings(text: str) -> PlatformSettings:
-    """Take the text of the settings file apart; keys that are not known are left out.
+    """Parse the text of the settings file; unknown keys are ignored.
 
     Raises:
-        AlderhatchError: Naming the key that is missing or wrong.
+        AlderhatchError: Naming the missing or invalid key.
     """
-    values = _Values(text)
-    links = values.whole("internal-ports", 0)
-    data = values.get("data-dir")
+    values = _SettingValues(text)
+    link_port = values.integer("internal-ports", 0)
+    data_dir = values.get("data-dir")
     node = NodeSettings(
         name=values.text("node-name"),
         address=values.text("ip"),
@@ -71,13 +74,13 @@
             addresses=values.port("bind-addresses.directory"),
             readiness=values.port("bind-addresses.readiness"),
             operators=values.port("bind-addresses.control"),
-            links=links,
-            metrics=links + METRICS_OFFSET,
+            links=link_port,
+            metrics=link_port + METRICS_OFFSET,
         ),
-        seeds=seeds_of(values.get("seeds"), links),
-        data_folder=Path(data) if data else None,
+        seeds=parse_seeds(values.get("seeds"), link_port),
+        data_folder=Path(data_dir) if data_dir else None,
         first_start=values.get("bootstrap") == "true",
-        tolerated_hosts=values.whole("fault-tolerance.machines", 0, "1"),
+        tolerated_hosts=values.integer("fault-tolerance.machines", 0, "1"),
         catch_up=values.number("bounds.sync-s", 4.0) * SECOND,
         budget=BudgetLimits(
             values.number("bounds.retry-budget-ratio", 0.2),
@@ -86,34 +89,34 @@
         ),
         stop_span=values.number("bounds.grace-s", 6.0) * SECOND,
         secret=LINK_SECRET,
-        zones=values.names("zones.") | {values.text("zone")},
-        cold=_cold_terms(values),
+        zones=values.suffixes("zones.") | {values.text("zone")},
+        cold=_cold_limits(values),
         processor=values.number("limits.cpu-share", 1.0) * values.number("limits.cpu-cores", 1.0),
         policy=POLICY,
     )
-    address, port = _split(values.text("cloud-api.address"), "cloud-api.address")
+    address, port = _split_address(values.text("cloud-api.address"), "cloud-api.address")
     return PlatformSettings(node, address, port)
 
 
-def _cold_terms(values: _Values) -> ColdServerLimits | None:
+def _cold_limits(values: _SettingValues) -> ColdServerLimits | None:
     if not values.get("bounds.warmup-margin"):
         return None
     tolerance = values.number("bounds.warmup-tolerance", 1.0)
     return ColdServerLimits(tolerance, values.number("bounds.warmup-margin", 0.0))
 
 
-def seeds_of(text: str, links: int) -> tuple[Place, ...]:
-    """Return where the hosts that the settings name accept links.
+def parse_seeds(text: str, link_port: int) -> tuple[Place, ...]:
+    """Return the link addresses of the seed hosts.
 
     Args:
-        text: The operators' addresses of some hosts, with commas between.
-        links: The port for links, which is the same on all hosts.
+        text: Addresses at which some hosts accept operators' requests, separated by commas.
+        link_port: The port for links, which is the same on all hosts.
     """
-    seeds = [one.partition(":")[0] for one in text.split(",") if one]
-    return tuple(Place(address, address, links) for address in seeds)
+    seed_addresses = [item.partition(":")[0] for item in text.split(",") if item]
+    return tuple(Place(address, address, link_port) for address in seed_addresses)
 
 
-class _Values:
+class _SettingValues:
     def __init__(self, text: str) -> None:
         lines = (line.partition("=") for line in text.splitlines() if "=" in line)
         self._values = {key.strip(): value.strip() for key, _, value in lines}
@@ -124,11 +127,11 @@
     def text(self, key: str) -> str:
         value = self.get(key)
         if not value:
-            raise _wrong(key, "the setting is missing")
+            raise _invalid_setting(key, "the setting is missing")
         return value
 
-    def names(self, prefix: str) -> frozenset[str]:
-        """Return the rest of all keys that begin so."""
+    def suffixes(self, prefix: str) -> frozenset[str]:
+        """Return the remainder of each key that starts with a prefix."""
         return frozenset(key.removeprefix(prefix) for key in self._values if key.startswith(prefix))
 
     def number(self, key: str, default: float) -> float:
@@ -136,24 +139,24 @@
         try:
             return float(value) if value else default
         except ValueError as exc:
-            raise _wrong(key, f"not a number: {value!r}") from exc
+            raise _invalid_setting(key, f"expected a number, got {value!r}") from exc
 
-    def whole(self, key: str, index: int, default: str = "") -> int:
+    def integer(self, key: str, index: int, default: str = "") -> int:
         value = (self.get(key) or default).split(",")[index]
         if not value.isdecimal():
-            raise _wrong(key, f"not a whole number: {value!r}")
+            raise _invalid_setting(key, f"expected an integer, got {value!r}")
         return int(value)
 
     def port(self, key: str) -> int:
-        return _split(self.text(key), key)[1]
+        return _split_address(self.text(key), key)[1]
 
 
-def _split(text: str, key: str) -> tuple[str, int]:
+def _split_address(text: str, key: str) -> tuple[str, int]:
     address, _, port = text.rpartition(":")
     if not address or not port.isdecimal():
-        raise _wrong(key, f"not an address with a port: {text!r}")
+        raise _invalid_setting(key, f"expected address:port, got {text!r}")
     return address, int(port)
 
 
-def _wrong(key: str, message: str) -> AlderhatchError:
+def _invalid_setting(key: str, message: str) -> AlderhatchError:
     return AlderhatchError(Failure(ErrorKind.BAD_REQUEST, f"{key}: {message}", key))
--- a/src/alderhatch/platform/settings_watch.py
+++ b/src/alderhatch/platform/settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes changes of the settings file while the node runs."""
+"""Applies changes of the settings file while the node runs."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from ..node.node import Node
 from .settings import read_settings
 
-LOOK_EVERY: Millis = 2 * SECOND
-"""The file also changes without a signal; the seeds in it matter only once all hosts that this one
-knows are gone."""
+POLL_INTERVAL: Millis = 2 * SECOND
+"""The file may also change without a signal. A few seconds are soon enough, because the seeds are
+needed only when none of the known hosts can be reached."""
 
 
 async def watch_settings(
     node: Node, path: Path, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Hand the node each new list of seeds, until cancelled.
+    """Pass each new list of seeds to the node, until cancelled.
 
     Args:
-        node: Told of other seeds.
-        path: The settings file, read at each SIGHUP and every now and then.
-        task_status: Told once the signal no longer ends the process.
+        node: The node whose seeds are updated.
+        path: The settings file, read at each SIGHUP and at a regular interval.
+        task_status: Reported as started once SIGHUP no longer ends the process.
     """
     with trio.open_signal_receiver(signal.SIGHUP) as received:
         task_status.started()
         while True:
-            with trio.move_on_after(LOOK_EVERY / SECOND):
+            with trio.move_on_after(POLL_INTERVAL / SECOND):
                 await anext(received)
-            _look(node, path)
+            _apply_seeds(node, path)
 
 
-def _look(node: Node, path: Path) -> None:
+def _apply_seeds(node: Node, path: Path) -> None:
     try:
         cfg = read_settings(path)
     except (AlderhatchError, OSError) as exc:
-        # The file may be read while it is written. The settings in use stay as they are.
+        # The file may be read while it is being written. The settings in use stay in force.
         log_event(LogEvent.SETTINGS_REFUSED, why=str(exc))
         return
     if cfg.node.seeds != node.seeds:
--- a/src/alderhatch/platform/wire_names.py
+++ b/src/alderhatch/platform/wire_names.py
@@ -3,26 +3,26 @@
 from __future__ import annotations
 
 REQUEST_ID = b"attempt-id"
-"""Names one try of a caller; servers echo it."""
+"""ID of one attempt of a caller. Servers echo it."""
 TIME_LEFT = b"time-budget-ms"
-"""How many milliseconds whoever sent the request waits for the answer."""
+"""Time for which the sender waits for the answer, in milliseconds."""
 SEAL = b"server-seal"
 """A server's signature of its answer."""
 EXPECTED_SERVER = b"expect-instance"
-"""The server that a request is meant for; any other refuses it."""
+"""ID of the server that a request is meant for. Any other server refuses it."""
 LOAD = b"server-load"
-"""Running requests, waiting requests and slots of the server, with commas between."""
+"""Numbers of running requests, waiting requests and slots of the server, separated by commas."""
 NOT_RUN = b"not-executed"
-"""On an answer of a server that has not run the request."""
+"""Present if the server has not run the request."""
 RETRY_AFTER = b"retry-after"
-"""Seconds, also fractions of one."""
+"""Seconds, which may be fractional."""
 SEALS_OF_PARTS = b"part-seals"
-"""The signatures of the shards' answers that a merged answer is made of."""
+"""Signatures of the shards' answers in a merged answer."""
 MISSING_SHARDS = b"missing-parts"
-"""How many shards a merged answer lacks."""
+"""Number of shards that are missing from a merged answer."""
 ENCODING = b"content-encoding"
 
-CONNECTION_FIELDS = frozenset(
+HOP_BY_HOP_FIELDS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -37,6 +37,6 @@
         b"expect",
     )
 )
-"""Fields that concern one connection, or the framing of one message on it."""
-OWN_FIELDS = frozenset((TIME_LEFT, EXPECTED_SERVER))
-"""Fields that the product sets itself on requests to servers."""
+"""Fields that apply to a single connection or to the framing of a message on it."""
+REPLACED_FIELDS = frozenset((TIME_LEFT, EXPECTED_SERVER))
+"""Fields that the node sets itself on requests to servers."""
