--- a/features/steps/http_client_steps.py
+++ b/features/steps/http_client_steps.py
@@ -10,12 +10,12 @@
 from alderhatch.http.exchange import ExchangeFault, HttpExchangeError
 
 LOOPBACK = "127.0.0.1"
-PATIENCE_S = 30
+TIMEOUT_S = 30
 READ_BYTES = 65_536
-PAUSE_S = 0.0005
+READ_PAUSE_S = 0.0005
 
 
-async def answer_size(stream):
+async def answer_with_size(stream):
     head = b""
     while b"\r\n\r\n" not in head:
         head += await stream.receive_some(READ_BYTES)
@@ -23,7 +23,7 @@
     length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
     size = len(rest)
     while size < length:
-        await trio.sleep(PAUSE_S)
+        await trio.sleep(READ_PAUSE_S)
         size += len(await stream.receive_some(READ_BYTES))
     body = b"%d" % size
     await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
@@ -34,8 +34,8 @@
 
 
 async def with_connection(handler, use):
-    """Run ``use`` on a connection to a server on loopback that has one handler."""
-    with trio.fail_after(PATIENCE_S):
+    """Run ``use`` on a connection to a loopback server with the given handler."""
+    with trio.fail_after(TIMEOUT_S):
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(partial(trio.serve_tcp, handler, 0, host=LOOPBACK))
             conn = await open_http(LOOPBACK, listeners[0].socket.getsockname()[1])
@@ -48,7 +48,7 @@
 
 @given("a server that reads slowly and answers with the size of what it read")
 def step_slow_reader(context):
-    context.handler = answer_size
+    context.handler = answer_with_size
 
 
 @given("a server that never answers")
@@ -69,7 +69,7 @@
     assert int(context.reply.body) == size, context.reply
 
 
-@when("the connection is closed while an exchange waits on it")
+@when("the connection is closed locally while an exchange is in progress on it")
 def step_close(context):
     async def exchange(conn):
         try:
--- a/features/steps/http_forward_steps.py
+++ b/features/steps/http_forward_steps.py
@@ -9,12 +9,12 @@
 from alderhatch.http.exchange import ExchangeFault, HttpExchangeError
 from alderhatch.http.messages import HttpResponse
 from alderhatch.http.server import ServeState, serve_http
-from features.steps.http_client_steps import LOOPBACK, PATIENCE_S, with_connection
+from features.steps.http_client_steps import LOOPBACK, TIMEOUT_S, with_connection
 from features.support.loopback_proxy import reset_on_close
 
-OWN = b"own"
+MATCHING_BODY = b"own"
 FIELDS = ((b"host", b"fleet.example"), (b"attempt-id", b"a1"))
-SILENCE_S = 0.3
+SILENCE_TIMEOUT_S = 0.3
 
 
 def answer(body, request_id=b"a1"):
@@ -25,22 +25,25 @@
     )
 
 
-EARLIER = answer(b"other", b"a0")
-CHUNKED = b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n"
-ENDLESS = b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\n\r\nown"
-SENT = {
-    "a whole answer": (answer(OWN), "keep"),
-    "an answer in chunks": (CHUNKED + b"3\r\nown\r\n0\r\n\r\n", "keep"),
-    "an answer without a length": (ENDLESS, "close"),
-    "an answer to an earlier request first": (EARLIER + answer(OWN), "keep"),
-    "two answers to earlier requests first": (EARLIER + EARLIER + answer(OWN), "keep"),
-    "only an answer to an earlier request": (EARLIER, "keep"),
-    "half an answer": (answer(OWN)[:-1], "close"),
-    "half a chunk": (CHUNKED + b"9\r\nown", "close"),
-    "an answer without a length, then resets": (ENDLESS, "reset"),
-    "nothing and closes": (b"", "close"),
-    "bytes that are no answer": (b"towels towels towels\r\n\r\n", "keep"),
-    "an answer and another one behind it": (answer(OWN) + answer(b"second"), "keep"),
+EARLIER_ANSWER = answer(b"other", b"a0")
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n"
+ANSWER_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\n\r\nown"
+SERVER_BEHAVIOURS = {
+    "a complete answer": (answer(MATCHING_BODY), "keep"),
+    "a chunked answer": (CHUNKED_HEAD + b"3\r\nown\r\n0\r\n\r\n", "keep"),
+    "an answer without a length": (ANSWER_WITHOUT_LENGTH, "close"),
+    "an answer to an earlier request first": (EARLIER_ANSWER + answer(MATCHING_BODY), "keep"),
+    "two answers to earlier requests first": (
+        EARLIER_ANSWER + EARLIER_ANSWER + answer(MATCHING_BODY),
+        "keep",
+    ),
+    "only an answer to an earlier request": (EARLIER_ANSWER, "keep"),
+    "a truncated answer": (answer(MATCHING_BODY)[:-1], "close"),
+    "a truncated chunk": (CHUNKED_HEAD + b"9\r\nown", "close"),
+    "an answer without a length, then a reset": (ANSWER_WITHOUT_LENGTH, "reset"),
+    "nothing, then closes": (b"", "close"),
+    "bytes that are not HTTP": (b"towels towels towels\r\n\r\n", "keep"),
+    "an answer followed by another one": (answer(MATCHING_BODY) + answer(b"second"), "keep"),
 }
 
 
@@ -51,14 +54,14 @@
     return data
 
 
-def sender(data, then_do):
+def sender(data, ending):
     async def handle(stream):
         await read_head(stream)
         if data:
             await stream.send_all(data)
-        if then_do == "keep":
+        if ending == "keep":
             await trio.sleep_forever()
-        if then_do == "reset":
+        if ending == "reset":
             await trio.sleep(0.1)
             reset_on_close(stream)
 
@@ -67,27 +70,27 @@
 
 @given("a server that sends {what}")
 def step_sends(context, what):
-    context.handler = sender(*SENT[what])
-    context.patience = SILENCE_S if what.startswith("only") else PATIENCE_S
+    context.handler = sender(*SERVER_BEHAVIOURS[what])
+    context.timeout_s = SILENCE_TIMEOUT_S if what.startswith("only") else TIMEOUT_S
 
 
 @given("a server that answers before it has read the body")
 def step_early(context):
-    context.handler = sender(answer(OWN), "keep")
-    context.patience = PATIENCE_S
+    context.handler = sender(answer(MATCHING_BODY), "keep")
+    context.timeout_s = TIMEOUT_S
 
 
-@given("a server that answers with what it got")
-def step_echo(context):
-    context.got = b""
-    context.patience = PATIENCE_S
+@given("a server that records the request and answers")
+def step_recording(context):
+    context.received = b""
+    context.timeout_s = TIMEOUT_S
 
     async def handle(stream):
         data = await read_head(stream)
         while not data.endswith(b"towels"):
             data += await stream.receive_some(65_536)
-        context.got = data
-        await stream.send_all(answer(OWN))
+        context.received = data
+        await stream.send_all(answer(MATCHING_BODY))
 
     context.handler = handle
 
@@ -95,9 +98,13 @@
 def forward(context, method="GET", target="/x", fields=FIELDS, body=b""):
     async def use(conn):
         try:
-            with trio.move_on_after(context.patience):
+            with trio.move_on_after(context.timeout_s):
                 reply = await conn.forward(
-                    method, target, fields, body, lambda one: one.header(b"attempt-id") == b"a1"
+                    method,
+                    target,
+                    fields,
+                    body,
+                    lambda response: response.header(b"attempt-id") == b"a1",
                 )
                 context.forwarded = reply.body
                 return
@@ -136,14 +143,14 @@
     assert context.forwarded == fault, context.forwarded
 
 
-@then("the connection carries no other request")
+@then("the connection can't carry another request")
 def step_not_usable(context):
     assert not context.usable_after
 
 
-@then("the server got exactly that")
-def step_got(context):
-    head, _, body = context.got.partition(b"\r\n\r\n")
+@then("the server received exactly that")
+def step_received(context):
+    head, _, body = context.received.partition(b"\r\n\r\n")
     lines = head.split(b"\r\n")
     assert lines[0] == b"PUT /a%20b?x=1&x=2 HTTP/1.1", lines
     assert [line for line in lines if line.lower().startswith(b"x-a")] == [b"x-a: 1", b"x-a: 2"]
@@ -163,7 +170,7 @@
         return HttpResponse(200, b"{}")
 
     async def main():
-        with trio.fail_after(PATIENCE_S):
+        with trio.fail_after(TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 listeners = await trio.open_tcp_listeners(0, host=LOOPBACK)
                 nursery.start_soon(serve_http, listeners, handler)
@@ -176,19 +183,19 @@
     trio.run(main)
 
 
-@then("the second one is known to come on a used connection, and the round trip is below 1000 ms")
-def step_used(context):
+@then("the second request is marked as on a used connection, and its round trip is below 1000 ms")
+def step_connection_use(context):
     first, second = context.requests
     assert (first.on_used_connection, second.on_used_connection) == (False, True)
     assert 0.0 <= second.round_trip < 1000.0
 
 
-@when("the node ends, and a client sends a request on a connection that it has kept")
-def step_ending(context):
-    context.begun = 0
+@when("the node is stopping and a client sends a request on a persistent connection")
+def step_stopping(context):
+    context.started_count = 0
 
     async def handle(req):
-        context.begun += 1
+        context.started_count += 1
         return HttpResponse(200, b"")
 
     async def main():
@@ -197,21 +204,21 @@
             listeners = await trio.open_tcp_listeners(0, host=LOOPBACK)
             port = listeners[0].socket.getsockname()[1]
             nursery.start_soon(partial(serve_http, listeners, handle, state=state))
-            with trio.fail_after(PATIENCE_S):
+            with trio.fail_after(TIMEOUT_S):
                 conn = await open_http(LOOPBACK, port)
                 await conn.forward("GET", "/", FIELDS)
                 state.refusing = True
                 try:
                     await conn.forward("GET", "/", FIELDS)
                 except HttpExchangeError as exc:
-                    context.ended = exc.fault
+                    context.ending_fault = exc.fault
             nursery.cancel_scope.cancel()
 
-    context.ended = None
+    context.ending_fault = None
     trio.run(main)
 
 
-@then("the connection is closed and the request was not begun")
-def step_not_begun(context):
-    assert context.ended is ExchangeFault.LOST, context.ended
-    assert context.begun == 1, context.begun
+@then("the connection is closed and the request is not started")
+def step_not_started(context):
+    assert context.ending_fault is ExchangeFault.LOST, context.ending_fault
+    assert context.started_count == 1, context.started_count
--- a/features/steps/platform_edge_steps.py
+++ b/features/steps/platform_edge_steps.py
@@ -88,20 +88,20 @@
 """
 
 
-def without(table, key):
+def remove_key(table, key):
     del table[key]
 
 
-def spoil(cfg, mistake):
+def apply_error(cfg, error):
     paths, orders = cfg["routes"]
     split = [{"service": "kitchen", "weight": 0}, {"service": "s00", "weight": 0}]
-    match mistake:
+    match error:
         case "the version is missing":
-            without(cfg, "version")
-        case "the version is a text":
+            remove_key(cfg, "version")
+        case "the version is a string":
             cfg["version"] = "seven"
         case "the routes are missing":
-            without(cfg, "routes")
+            remove_key(cfg, "routes")
         case "a route names an unknown service":
             orders["service"] = "nobody"
         case "a shard is an unknown service":
@@ -112,37 +112,37 @@
             orders["timeout-ms"] = 0
         case "a timeout is negative":
             orders["timeout-ms"] = -5
-        case "the weights add up to 0":
+        case "the sum of the weights is 0":
             orders["traffic-split"] = split
-        case "a weight is a text":
+        case "a weight is a string":
             orders["traffic-split"] = [{"service": "kitchen", "weight": "all"}]
-        case "a shard is named twice":
+        case "a shard occurs twice":
             paths["gather"] = ["s00", "s00"]
         case "a route has no name":
-            without(orders, "name")
-        case "a limit is a text":
+            remove_key(orders, "name")
+        case "a limit is a string":
             cfg["limits"]["max-body-bytes"] = "many"
         case _:
-            raise AssertionError(mistake)
+            raise AssertionError(error)
 
 
-@given("a platform configuration in which {mistake}")
-def step_mistake(context, mistake):
+@given("a platform configuration in which {error}")
+def step_invalid_configuration(context, error):
     cfg = copy.deepcopy(CONFIGURATION)
-    match mistake:
-        case "the body is cut short":
+    match error:
+        case "the body is truncated":
             context.document = orjson.dumps(cfg)[:-20]
-        case "the body is no JSON":
+        case "the body is not JSON":
             context.document = b"version: 7"
         case "the body is a list":
             context.document = b"[]"
         case _:
-            spoil(cfg, mistake)
+            apply_error(cfg, error)
             context.document = orjson.dumps(cfg)
 
 
-@then('reading it is refused with 400, naming "{field}"')
-@then('reading it is refused with 400, naming ""')
+@then('decoding it is refused with 400, naming "{field}"')
+@then('decoding it is refused with 400, naming ""')
 def step_refused(context, field=""):
     try:
         decode_configuration(context.document)
@@ -150,16 +150,16 @@
         assert exc.failure.answer.status == 400, exc
         assert (exc.failure.field or "") == field, exc.failure.field
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("the invalid configuration was accepted")
 
 
 @given("a platform configuration as an operator sends it")
-def step_valid(context):
+def step_valid_configuration(context):
     context.document = orjson.dumps(CONFIGURATION)
 
 
-@then("its routes, upstreams and limits are read as they were meant")
-def step_read(context):
+@then("its routes, upstreams and limits are decoded as declared")
+def step_decoded(context):
     cfg = decode_configuration(context.document)
     paths, orders = cfg.routes
     assert cfg.version == 7
@@ -168,21 +168,21 @@
     assert (paths.timeout, paths.target_latency, paths.rank) == (2000.0, 145.0, 1)
     assert orders.destination == OneUpstream("kitchen")
     assert not orders.idempotent
-    assert [one.max_connections for one in cfg.upstreams] == [28, 28, 28]
+    assert [upstream.max_connections for upstream in cfg.upstreams] == [28, 28, 28]
     assert cfg.limits == (16384, 262144, 3000.0, 15000.0)
 
 
-@then("these words for the kind of a route make it idempotent or not")
-def step_words(context):
+@then("these route types make a route idempotent or not")
+def step_route_types(context):
     for row in context.table:
         cfg = copy.deepcopy(CONFIGURATION)
-        cfg["routes"][1]["route-type"] = row["word"]
+        cfg["routes"][1]["route-type"] = row["type"]
         route = decode_configuration(orjson.dumps(cfg)).routes[1]
-        assert route.idempotent == (row["idempotent"] == "yes"), row["word"]
+        assert route.idempotent == (row["idempotent"] == "yes"), row["type"]
 
 
-SPOILT_SERVERS = {
-    "is a text": "i-2",
+INVALID_ENTRIES = {
+    "is a string": "i-2",
     "is null": None,
     "has no instance-id": {key: value for key, value in SERVER.items() if key != "instance-id"},
     "has a number as service": SERVER | {"service": 7},
@@ -194,23 +194,23 @@
 }
 
 
-@given("a list of servers in which one entry {mistake}")
-def step_list(context, mistake):
-    context.listed = [SPOILT_SERVERS[mistake], SERVER]
+@given("a list of servers in which one entry {error}")
+def step_invalid_entry(context, error):
+    context.listed = [INVALID_ENTRIES[error], SERVER]
 
 
-@then("reading the list gives the other server only")
+@then("only the other server is read from the list")
 def step_other_only(context):
-    found = [one for one in map(parse_server, context.listed) if one is not None]
-    assert [one.server_id for one in found] == ["i-1"], found
+    found = [server for server in map(parse_server, context.listed) if server is not None]
+    assert [server.server_id for server in found] == ["i-1"], found
 
 
-@given("a list of servers with one that is draining and one that is warm in 2500 ms")
+@given("a list of servers with one that is draining and one that finishes warming up in 2500 ms")
 def step_list_states(context):
     context.listed = [SERVER | {"state": "draining"}, SERVER | {"warmup-left-ms": 2500}]
 
 
-@then("the first is read as draining and the second as warm in 2500 ms")
+@then("the first is read as draining and the second as warming up for 2500 ms")
 def step_states(context):
     first, second = map(parse_server, context.listed)
     assert first.draining
@@ -222,23 +222,21 @@
     return CallerRequest(http, "fleet.example", request_id, 2000.0, fields)
 
 
-@given('a forwarded request with the id "{request_id}"')
-def step_forwarded(context, request_id):
+@given('a forwarded request with the ID "{request_id}"')
+def step_forwarded_request(context, request_id):
     context.caller_request = caller_request([], request_id)
 
 
-@then('a server\'s answer of status {status:d} with "{fields}" is read as {fault}')
-def step_answer(context, status, fields, fault):
-    pairs = [one.strip().split(": ") for one in fields.split(";")]
+@then('a server\'s answer of status {status:d} with "{fields}" is classified as {fault}')
+def step_classified(context, status, fields, fault):
+    pairs = [pair.strip().split(": ") for pair in fields.split(";")]
     headers = [(name.lower().encode(), value.encode()) for name, value in pairs]
-    reading = PlatformDialect().read_answer(
-        context.caller_request, HttpReply(status, headers, b"x")
-    )
-    assert (reading.fault or "none") == fault, reading
+    parsed = PlatformDialect().read_answer(context.caller_request, HttpReply(status, headers, b"x"))
+    assert (parsed.fault or "none") == fault, parsed
 
 
 @given("a caller's request with the fields")
-def step_caller(context):
+def step_caller_fields(context):
     fields = [(row["name"].lower().encode(), row["value"].encode()) for row in context.table]
     headers = {name.decode(): value.decode() for name, value in fields}
     http = HttpRequest("GET", "/paths/7", {}, headers, b"", "/paths/7", fields)
@@ -267,20 +265,20 @@
     "not run": NotRun(FailureReason.REFUSED, 250.0),
     "failed": Failed(FailureReason.FAILED),
     "timeout": Failed(FailureReason.TIMEOUT),
-    "failed by a server's word": Failed(FailureReason.FAILED, reply(0, 500)),
+    "failed with a server's answer": Failed(FailureReason.FAILED, reply(0, 500)),
 }
 
 
-@then('the outcome "{outcome}" of a {kind} route is told as {status:d} with "{field}"')
-@then('the outcome "{outcome}" of a {kind} route is told as {status:d} with ""')
-def step_told(context, outcome, kind, status, field=""):
+@then('the outcome "{outcome}" of a {kind} route is answered with {status:d} and "{field}"')
+@then('the outcome "{outcome}" of a {kind} route is answered with {status:d} and ""')
+def step_response(context, outcome, kind, status, field=""):
     route = single_route("u0") if kind == "single" else scatter_route(["u0", "u1"])
     response = PlatformDialect().response(route, OUTCOMES[outcome])
-    told = [f"{name}: {value}" for name, value in response.headers]
-    told += [f"{name.decode()}: {value.decode()}" for name, value in response.fields]
+    response_fields = [f"{name}: {value}" for name, value in response.headers]
+    response_fields += [f"{name.decode()}: {value.decode()}" for name, value in response.fields]
     assert response.status == status, response
-    assert not field or field in told, told
-    assert response.status == 200 or field or "server-seal: s0" not in told
+    assert not field or field in response_fields, response_fields
+    assert response.status == 200 or field or "server-seal: s0" not in response_fields
 
 
 @given('the platform\'s settings with "{key}" changed to "{value}"')
@@ -290,39 +288,39 @@
     context.settings = "\n".join([*lines, f"{key}={value}"])
 
 
-@then('reading them is refused, naming "{key}"')
+@then('parsing them is refused, naming "{key}"')
 def step_settings_refused(context, key):
     try:
         parse_settings(context.settings)
     except AlderhatchError as exc:
         assert exc.failure.field == key, exc.failure
         return
-    raise AssertionError("they were taken")
+    raise AssertionError("the invalid settings were accepted")
 
 
-@then('changing the policy by "{text}" is refused, naming "{name}"')
+@then('overriding the policy with "{text}" is refused, naming "{name}"')
 def step_policy_refused(context, text, name):
     try:
         change_policy(Policy(), text)
     except AlderhatchError as exc:
         assert exc.failure.field == name, exc.failure
         return
-    raise AssertionError("they were taken")
+    raise AssertionError("the invalid policy values were accepted")
 
 
-@then('changing the policy by "" changes nothing')
+@then('overriding the policy with "" changes nothing')
 def step_policy_same(context):
     assert change_policy(Policy(), "") == Policy()
 
 
-@then('changing the policy by "near_factor=0, eject_failures=5" changes just these two')
+@then('overriding the policy with "near_factor=0, eject_failures=5" changes only these two')
 def step_policy_changed(context):
     changed = change_policy(Policy(), "near_factor=0, eject_failures=5")
     assert changed == Policy(near_factor=0.0, eject_failures=5)
     assert isinstance(changed.eject_failures, int)
 
 
-@then("the platform's settings are read as those of a host with a disk")
+@then("the platform's settings are parsed as those of a host with a disk")
 def step_settings_read(context):
     cfg = parse_settings(SETTINGS)
     node = cfg.node
@@ -336,18 +334,18 @@
     assert node.catch_up == 4000.0
 
 
-@then("without a data folder the host takes no part in the replicated log")
+@then("without a data folder the host does not take part in the replicated log")
 def step_diskless(context):
     text = SETTINGS.replace("data-dir=/data/my-frontend\n", "")
     assert parse_settings(text).node.data_folder is None
 
 
-@then("keys that are not known change nothing")
+@then("unknown keys are ignored")
 def step_unknown_keys(context):
     assert parse_settings(SETTINGS + "new.key=1\n") == parse_settings(SETTINGS)
 
 
-@then("the example settings and the example configuration of the platform are read whole")
+@then("the example settings and the example configuration of the platform are valid")
 def step_examples(context):
     folder = Path(__file__).parents[2] / "examples" / "platform"
     cfg = parse_settings((folder / "settings.conf").read_text())
--- a/features/support/loopback_proxy.py
+++ b/features/support/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that harms the connections which pass through it."""
+"""A loopback proxy that injects faults into its connections."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class LoopbackProxy:
-    """Passes connections on to a server.
+    """Forwards connections to a server, with a fault mode that may change at any time.
 
-    ``mode`` may change at any moment: ``pass``; ``delay``, each chunk late; ``silent``, nothing in
-    either direction; ``one_way``, requests pass and answers vanish; ``reset``, all are reset.
+    The modes are ``pass``, ``delay`` (each chunk is delayed), ``silent`` (data is dropped in both
+    directions), ``one_way`` (answers are dropped) and ``reset`` (all connections are reset).
     """
 
     def __init__(self, address, port):
@@ -30,7 +30,7 @@
         listeners = await trio.open_tcp_listeners(0, host=self.address)
         self.port = listeners[0].socket.getsockname()[1]
         task_status.started()
-        await trio.serve_listeners(self._pass_on, listeners)
+        await trio.serve_listeners(self._forward, listeners)
 
     async def set_mode(self, mode):
         self._mode = mode
@@ -38,7 +38,7 @@
             for client in list(self._clients):
                 _reset(client)
 
-    async def _pass_on(self, client):
+    async def _forward(self, client):
         if self._mode == "reset":
             _reset(client)
             return
@@ -67,7 +67,7 @@
 
 
 def reset_on_close(stream):
-    """Let a connection be reset, not ended, when it is closed."""
+    """Make closing a connection reset it, instead of ending the stream."""
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
