--- a/bench/_owner_process.py
+++ b/bench/_owner_process.py
@@ -20,7 +20,7 @@
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     async with trio.open_nursery() as nursery:
         await nursery.start(pool.run)
-        pool.adopt("navigator", servers, ())
+        pool.update_servers("navigator", servers, ())
         await nursery.start(OwnerServer("owner", SECRET, pool).serve, listeners)
         print(listeners[0].socket.getsockname()[1], flush=True)
 
--- a/bench/forward.py
+++ b/bench/forward.py
@@ -137,7 +137,7 @@
             TierView([HostRecord("node", "zone", "127.0.0.1:1", True, 1.0)], [], 0.0)
         )
         side.state.take_servers(side.records, ())
-        while side.pool.held < len(ports):
+        while side.pool.connection_count < len(ports):
             await trio.sleep(0.01)
         await side.ask(0, WARM_UP)
         costs = []
--- a/bench/owners.py
+++ b/bench/owners.py
@@ -23,7 +23,7 @@
 from alderhatch.core.shard_map import Server, Snapshot
 from alderhatch.entry.attempt_runner import AttemptRunner
 from alderhatch.entry.connection_pool import ConnectionPool
-from alderhatch.entry.owner_client import OwnerClient, OwnerPlace, OwnerTraffic
+from alderhatch.entry.owner_client import OwnerAddress, OwnerClient, OwnerTraffic
 
 from ._owner_process import SECRET, SHARE
 from ._processes import processor_seconds, read_line, started
@@ -118,13 +118,13 @@
     own, none = ConnectionPool(SHARE), ConnectionPool(SHARE)
     none.set_shares({})
     owners = OwnerClient("front", SECRET, SILENCE)
-    owners.set_owners({"owner": OwnerPlace("127.0.0.1", port)}, lambda server_id: ("owner",))
+    owners.set_owners({"owner": OwnerAddress("127.0.0.1", port)}, lambda server_id: ("owner",))
     direct = AttemptRunner(own, front.feed)
     through = AttemptRunner(none, front.feed, owners)
     async with trio.open_nursery() as nursery:
         for part in (own.run, none.run, owners.run, direct.run, through.run):
             await nursery.start(part)
-        own.adopt("navigator", servers, ())
+        own.update_servers("navigator", servers, ())
         for size in SIZES:
             await _compare(front, direct, through, owners, size, pid)
         nursery.cancel_scope.cancel()
--- a/features/steps/entry_connections_steps.py
+++ b/features/steps/entry_connections_steps.py
@@ -117,12 +117,14 @@
     here = world(context)
     pool = here.entries[0].pool
     servers = [server.server_id for server in here.upstream.servers]
-    here.call(here.until, lambda: all(pool.held_to(item)[0] for item in servers))
+    here.call(here.until, lambda: all(pool.idle_and_busy_counts(item)[0] for item in servers))
 
 
 @then("the entry opened at most {count:d} connections")
 def step_opened(context, count):
-    assert world(context).entries[0].pool.opened <= count, world(context).entries[0].pool.opened
+    assert world(context).entries[0].pool.opened_count <= count, (
+        world(context).entries[0].pool.opened_count
+    )
 
 
 @given("the entry's rule allows {count:d} retries")
@@ -176,7 +178,7 @@
                 conns.opening = False
                 conns.failed(HttpExchangeError("refused", ExchangeFault.NOT_SENT), now)
             case "take":
-                taken.append(conns.take_idle(now))
+                taken.append(conns.acquire_idle(now))
             case "back":
                 conns.put(taken.pop(), now)
             case "break":
@@ -192,14 +194,14 @@
                 conns.share = share
                 conns.trim(now)
                 now += 1000
-        most = max(most, conns.held(now) if conns.share == share else 0)
+        most = max(most, conns.counted_connections(now) if conns.share == share else 0)
     context.pool_counts = (conns, now, most)
 
 
 @then("the connections held at the end are {held:d} and never were over {share:d}")
 def step_held(context, held, share):
     conns, now, most = context.pool_counts
-    assert conns.held(now) == held, conns.held(now)
+    assert conns.counted_connections(now) == held, conns.held(now)
     assert most <= share, most
 
 
--- a/features/steps/idle_connections_steps.py
+++ b/features/steps/idle_connections_steps.py
@@ -42,9 +42,9 @@
 @then("the next request gets a connection without a fault")
 def step_taken(context):
     async def taken(pool):
-        conn = await pool.take(SERVER_ID)
+        conn = await pool.acquire(SERVER_ID)
         assert conn.alive
-        pool.give_back(SERVER_ID, conn)
+        pool.release(SERVER_ID, conn)
 
     context.steps.append(taken)
 
@@ -55,8 +55,8 @@
         known = context.server.closed
         while context.server.closed == known:
             await trio.sleep(0.01)
-        opened = pool.opened
-        while pool.opened == opened or pool.held_to(SERVER_ID) != (1, 0):
+        opened = pool.opened_count
+        while pool.opened_count == opened or pool.idle_and_busy_counts(SERVER_ID) != (1, 0):
             await trio.sleep(0.01)
 
     context.steps.append(again)
@@ -70,8 +70,8 @@
             port = listeners[0].socket.getsockname()[1]
             pool = ConnectionPool(4, spares=False)
             await nursery.start(pool.run)
-            pool.adopt(UPSTREAM, [Server(SERVER_ID, "127.0.0.1", port, "zone", 2, 10)], ())
-            while not pool.opened:
+            pool.update_servers(UPSTREAM, [Server(SERVER_ID, "127.0.0.1", port, "zone", 2, 10)], ())
+            while not pool.opened_count:
                 await trio.sleep(0.01)
             for step in context.steps:
                 await step(pool)
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -82,7 +82,9 @@
 def step_connections(context, owners):
     here = world(context)
     for server in here.upstream.servers:
-        holders = [one for one in here.entries if sum(one.pool.held_to(server.server_id))]
+        holders = [
+            one for one in here.entries if sum(one.pool.idle_and_busy_counts(server.server_id))
+        ]
         assert len(holders) == owners, (server.server_id, len(holders))
     step_limit_kept(context)
 
--- a/features/steps/upstream_garbage_steps.py
+++ b/features/steps/upstream_garbage_steps.py
@@ -119,7 +119,7 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(pool.run)
         await nursery.start(runner.run)
-        pool.adopt("navigator", here.entries[0].maps[0].newest.servers, [])
+        pool.update_servers("navigator", here.entries[0].maps[0].newest.servers, [])
         runner.start(send)
         with trio.move_on_after(2):
             await ended.wait()
--- a/src/alderhatch/entry/attempt_faults.py
+++ b/src/alderhatch/entry/attempt_faults.py
@@ -5,7 +5,7 @@
 from ..core.entry_events import AttemptFault
 from ..http.exchange import ExchangeFault
 
-FAULTS = {
+ATTEMPT_FAULTS = {
     ExchangeFault.NOT_SENT: AttemptFault.NOT_SENT,
     ExchangeFault.LOST: AttemptFault.LOST,
     ExchangeFault.SILENT: AttemptFault.SILENT,
--- a/src/alderhatch/entry/attempt_runner.py
+++ b/src/alderhatch/entry/attempt_runner.py
@@ -20,7 +20,7 @@
 from ..log import log_event
 from ..log_events import LogEvent
 from ..loop_tasks import LoopTasks
-from .attempt_faults import FAULTS
+from .attempt_faults import ATTEMPT_FAULTS
 from .connection_pool import ConnectionPool
 from .owner_client import OwnerClient
 from .owner_link import OwnerCallError
@@ -96,7 +96,7 @@
         """Begin an attempt."""
         if not self._tasks.running:
             return
-        conn = self._pool.take_idle(send.server_id)
+        conn = self._pool.acquire_idle(send.server_id)
         if conn is not None:
             self._running[send.attempt] = conn
             if self._idle:
@@ -135,23 +135,23 @@
         try:
             event = await self._exchange(send, conn)
         finally:
-            self._pool.give_back(send.server_id, conn)
+            self._pool.release(send.server_id, conn)
         self._end(event)
 
     async def _attempt_later(self, send: SendShard, scope: trio.CancelScope) -> None:
         with scope:
             try:
-                conn = await self._pool.take(send.server_id)
+                conn = await self._pool.acquire(send.server_id)
             except HttpExchangeError as exc:
                 # A server that is other owners' now, or has become so while this waited, is asked
                 # through them. Reported as not sent, it would count against a server that is well.
                 if self._owners is not None and not self._pool.share_of(send.server_id):
                     self._end(await self._through_owner(send, self._owners))
                 else:
-                    self._end(AttemptFailed(send.attempt, FAULTS[exc.fault]))
+                    self._end(AttemptFailed(send.attempt, ATTEMPT_FAULTS[exc.fault]))
                 return
             if scope.cancel_called:
-                self._pool.give_back(send.server_id, conn)
+                self._pool.release(send.server_id, conn)
                 return
             self._running[send.attempt] = conn
         if not scope.cancelled_caught:
@@ -183,7 +183,7 @@
         except HttpExchangeError as exc:
             if exc.fault is ExchangeFault.GARBAGE:
                 self._log_refused(send, AttemptFault.GARBAGE)
-            return AttemptFailed(send.attempt, FAULTS[exc.fault])
+            return AttemptFailed(send.attempt, ATTEMPT_FAULTS[exc.fault])
         event = read_reply(send, reply)
         if isinstance(event, AttemptFailed) and event.fault in UNTRUE:
             # Whatever crossed the answers may do so again, and the next answer on this
--- a/src/alderhatch/entry/connection_pool.py
+++ b/src/alderhatch/entry/connection_pool.py
@@ -57,7 +57,7 @@
         self._servers: dict[str, ServerConnections] = {}
         self._openings = trio.CapacityLimiter(OPENINGS_AT_ONCE)
         self._nursery: trio.Nursery | None = None
-        self.opened = 0
+        self.opened_count = 0
         """Connections opened so far."""
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -72,19 +72,19 @@
                 conns.close_all(self._clock.now())
 
     @property
-    def held(self) -> int:
+    def connection_count(self) -> int:
         """How many connections there are."""
         return sum(len(conns.idle) + len(conns.busy) for conns in self._servers.values())
 
-    def held_to(self, server_id: str) -> tuple[int, int]:
+    def idle_and_busy_counts(self, server_id: str) -> tuple[int, int]:
         """Return how many idle and how many busy connections there are to a server."""
         conns = self._servers.get(server_id)
         return (len(conns.idle), len(conns.busy)) if conns is not None else (0, 0)
 
     @property
-    def silent(self) -> int:
+    def silent_count(self) -> int:
         """How many connections were dropped because nothing moved on them."""
-        return sum(conns.silent for conns in self._servers.values())
+        return sum(conns.silent_count for conns in self._servers.values())
 
     def set_shares(self, shares: Mapping[str, int] | None) -> None:
         """Hold no more connections to each server than this.
@@ -109,7 +109,9 @@
     def within_shares(self) -> bool:
         """Return whether no server may count more connections than its share."""
         now = self._clock.now()
-        return all(conns.held(now) <= conns.share for conns in self._servers.values())
+        return all(
+            conns.counted_connections(now) <= conns.share for conns in self._servers.values()
+        )
 
     def server_ids(self, upstream: str | None = None) -> list[str]:
         """Return the ids of the known servers, of one upstream or of all."""
@@ -123,7 +125,7 @@
         """Return the names of the upstreams to whose servers there are connections."""
         return {conns.upstream for conns in self._servers.values() if conns.retired_at is None}
 
-    def adopt(self, upstream: str, servers: Iterable[Server], gone: Iterable[str]) -> None:
+    def update_servers(self, upstream: str, servers: Iterable[Server], gone: Iterable[str]) -> None:
         """Prepare connections to servers of a new map.
 
         Args:
@@ -149,28 +151,28 @@
             if known is not None and known.retired_at is None:
                 known.retired_at = now
 
-    def take_idle(self, server_id: str) -> HttpConnection | None:
+    def acquire_idle(self, server_id: str) -> HttpConnection | None:
         """Return a live idle connection to a server at once, or None."""
         conns = self._servers.get(server_id)
         if conns is None:
             return None
-        conn = conns.take_idle(self._clock.now())
+        conn = conns.acquire_idle(self._clock.now())
         if not conns.idle:
             self._grow(conns)
         return conn
 
-    def take_oldest_idle(self, server_id: str) -> HttpConnection | None:
+    def acquire_oldest_idle(self, server_id: str) -> HttpConnection | None:
         """Return the live connection that was idle for longest at once, or None."""
         conns = self._servers.get(server_id)
-        return None if conns is None else conns.take_oldest_idle(self._clock.now())
+        return None if conns is None else conns.acquire_oldest_idle(self._clock.now())
 
-    async def take(self, server_id: str) -> HttpConnection:
+    async def acquire(self, server_id: str) -> HttpConnection:
         """Return a connection to a server: an idle one at once, else the next one there is.
 
         Raises:
             HttpExchangeError: Of the fault ``not_sent`` if no connection can be opened.
         """
-        conn = self.take_idle(server_id)
+        conn = self.acquire_idle(server_id)
         if conn is not None:
             return conn
         conns = self._servers.get(server_id)
@@ -180,15 +182,15 @@
             raise HttpExchangeError(f"{server_id} was unreachable", ExchangeFault.NOT_SENT)
         return await self._wait(conns)
 
-    async def take_within(self, server_id: str, timeout: Millis) -> HttpConnection:
-        """Return a connection as ``take`` does, but wait no longer than a time in milliseconds.
+    async def acquire_within(self, server_id: str, timeout: Millis) -> HttpConnection:
+        """Return a connection as ``acquire`` does, but wait no longer than a time in milliseconds.
 
         Raises:
             HttpExchangeError: Of the fault ``not_sent`` if there is none in time.
         """
         try:
             with trio.fail_after(timeout / SECOND):
-                return await self.take(server_id)
+                return await self.acquire(server_id)
         except trio.TooSlowError as exc:
             message = f"no free connection to {server_id}"
             raise HttpExchangeError(message, ExchangeFault.NOT_SENT) from exc
@@ -210,7 +212,7 @@
         assert waiter.conn is not None
         return waiter.conn
 
-    def give_back(self, server_id: str, conn: HttpConnection) -> None:
+    def release(self, server_id: str, conn: HttpConnection) -> None:
         """Keep a connection for the next exchange, or close it if it can't carry one."""
         conns = self._servers.get(server_id)
         if conns is None or conn not in conns.busy:
@@ -242,7 +244,7 @@
             return
         finally:
             conns.opening = False
-        self.opened += 1
+        self.opened_count += 1
         if self._servers.get(server.server_id) is not conns:
             conn.close()
             return
--- a/src/alderhatch/entry/control_link.py
+++ b/src/alderhatch/entry/control_link.py
@@ -25,7 +25,7 @@
 from .address_book import EntryAddress
 from .control_client import ControlClient
 from .control_hook import ControlEffect, EntryHooks
-from .owner_client import OwnerPlace
+from .owner_client import OwnerAddress
 
 CONTROL = "control"
 LOOK_EVERY: Millis = 50.0
@@ -140,7 +140,7 @@
         if owners is None:
             return
         rows = self.client.view.roster.values()
-        places = {row.name: OwnerPlace(row.link_address, row.link_port) for row in rows}
+        places = {row.name: OwnerAddress(row.link_address, row.link_port) for row in rows}
         servers = {server.server_id: server for server in self._entry.known_servers()}
 
         def owners_of(server_id: str) -> tuple[str, ...]:
@@ -158,7 +158,7 @@
         limits = {
             server.server_id: max(FEWEST_THROUGH_OWNERS, server.max_connections // entries)
             for server in self._entry.known_servers()
-            if not shares[server.server_id] and owners.reaches(server.server_id)
+            if not shares[server.server_id] and owners.can_reach(server.server_id)
         }
         return shares | limits if limits else shares
 
--- a/src/alderhatch/entry/entry_metrics.py
+++ b/src/alderhatch/entry/entry_metrics.py
@@ -48,9 +48,9 @@
         copied = {
             Metric.ENTRY_SHARD_REQUESTS: node.core.shard_requests_sent,
             Metric.ENTRY_SHARD_REQUESTS_NEEDED: node.core.shard_requests_needed,
-            Metric.ENTRY_CONNECTIONS_OPENED: node.pool.opened,
-            Metric.ENTRY_CONNECTIONS_SILENT: node.pool.silent,
-            Metric.ENTRY_CONNECTIONS: node.pool.held,
+            Metric.ENTRY_CONNECTIONS_OPENED: node.pool.opened_count,
+            Metric.ENTRY_CONNECTIONS_SILENT: node.pool.silent_count,
+            Metric.ENTRY_CONNECTIONS: node.pool.connection_count,
             Metric.ENTRY_CALLERS: node.callers.connections,
             Metric.ENTRY_RUNNING: node.core.running,
             Metric.ENTRY_SHARD_REQUESTS_WASTED: node.core.shard_requests_wasted,
--- a/src/alderhatch/entry/entry_node.py
+++ b/src/alderhatch/entry/entry_node.py
@@ -303,10 +303,10 @@
                 self._ask_control(effect)
             case ProbeServer(server_id=server_id):
                 for prober in self._probers:
-                    prober.hurry(server_id)
+                    prober.probe_now(server_id)
             case FetchShardMap(upstream=upstream):
                 for poller in self.maps:
-                    poller.hurry(upstream)
+                    poller.fetch_now(upstream)
 
     def _finish(self, query: int, outcome: Outcome) -> None:
         finish = self._waiting.pop(query, None)
@@ -324,7 +324,7 @@
     def _adopt(self, shard_map: ShardMap) -> None:
         known = {server.server_id for server in shard_map.servers}
         gone = [item for item in self.pool.server_ids(shard_map.upstream) if item not in known]
-        self.pool.adopt(shard_map.upstream, shard_map.servers, gone)
+        self.pool.update_servers(shard_map.upstream, shard_map.servers, gone)
         self.feed(ShardMapFetched(shard_map))
         self._share_out()
         self._tell_leaving()
@@ -347,12 +347,12 @@
         leaving = frozenset(
             server.server_id
             for server in self.known_servers()
-            if any(host.names(server.address, server.port) for host in self._hosts)
+            if any(host.matches(server.address, server.port) for host in self._hosts)
         )
         self.addresses.platform_leaving = [
             (item.address, item.port)
             for item in self.addresses.roster
-            if any(host.names(item.address, item.port) for host in self._hosts)
+            if any(host.matches(item.address, item.port) for host in self._hosts)
         ]
         if leaving != self._leaving:
             self._leaving = leaving
--- a/src/alderhatch/entry/health_poller.py
+++ b/src/alderhatch/entry/health_poller.py
@@ -59,7 +59,7 @@
         self._hurried: set[str] = set()
         self._nursery: trio.Nursery | None = None
 
-    def hurry(self, server_id: str) -> None:
+    def probe_now(self, server_id: str) -> None:
         """Probe a server now, if it is one of this upstream's."""
         shard_map = self._current_map()
         if shard_map is None or server_id not in shard_map.by_server_id:
@@ -114,7 +114,7 @@
         """Ask once; return whether there is nothing more to find out in this round."""
         if self._pool.share_of(server_id) == 0:
             return await self._ask_owner(server_id)
-        idle, busy = self._pool.held_to(server_id)
+        idle, busy = self._pool.idle_and_busy_counts(server_id)
         if busy and not idle and not hurried:
             # Every connection carries a query. Its answer tells more than a probe would, and a
             # probe that waited for it would hold up the next query.
@@ -134,11 +134,13 @@
         return True
 
     async def _ask_owner(self, server_id: str) -> bool:
-        if self._owners is None or not self._owners.reaches(server_id):
+        if self._owners is None or not self._owners.can_reach(server_id):
             return True
         asked_at = self._clock.now()
         try:
-            health = parse_health(await self._owners.look(server_id, HEALTH_PATH, PROBE_TIMEOUT))
+            health = parse_health(
+                await self._owners.fetch_path(server_id, HEALTH_PATH, PROBE_TIMEOUT)
+            )
         except ProtocolError:
             return False
         except OwnerCallError as exc:
@@ -148,13 +150,13 @@
         return True
 
     async def _exchange(self, server_id: str) -> Health:
-        conn = self._pool.take_oldest_idle(server_id)
+        conn = self._pool.acquire_oldest_idle(server_id)
         if conn is None:
-            conn = await self._pool.take_within(server_id, PROBE_TIMEOUT)
+            conn = await self._pool.acquire_within(server_id, PROBE_TIMEOUT)
         try:
             reply = await exchange_within(
                 conn, PROBE_TIMEOUT, "GET", HEALTH_PATH, max_body=MAX_HEALTH_BYTES
             )
         finally:
-            self._pool.give_back(server_id, conn)
+            self._pool.release(server_id, conn)
         return parse_health(reply)
--- a/src/alderhatch/entry/map_poller.py
+++ b/src/alderhatch/entry/map_poller.py
@@ -57,7 +57,7 @@
             self._hurry = trio.Event()
             await self.fetch()
 
-    def hurry(self, upstream: str) -> None:
+    def fetch_now(self, upstream: str) -> None:
         """Fetch the map of an upstream now, if it is this one."""
         if upstream == self.upstream:
             self._hurry.set()
@@ -83,7 +83,7 @@
     def _may_ask(self, server_id: str) -> bool:
         if self._pool.share_of(server_id):
             return True
-        return self._owners is not None and self._owners.reaches(server_id)
+        return self._owners is not None and self._owners.can_reach(server_id)
 
     def _endpoints(self) -> list[Endpoint]:
         # Were only the seeds asked, an upstream whose seeds have been replaced one by one would
@@ -102,13 +102,13 @@
             await trio.sleep(CLOSE_LINGER / SECOND)
             return reply
         if self._owners is not None and not self._pool.share_of(server_id):
-            return await self._owners.look(server_id, MAP_PATH, FETCH_TIMEOUT)
+            return await self._owners.fetch_path(server_id, MAP_PATH, FETCH_TIMEOUT)
         # A connection besides the shared ones would count against the server's limit too.
-        conn = await self._pool.take_within(server_id, FETCH_TIMEOUT)
+        conn = await self._pool.acquire_within(server_id, FETCH_TIMEOUT)
         try:
             return await exchange_within(conn, FETCH_TIMEOUT, "GET", MAP_PATH)
         finally:
-            self._pool.give_back(server_id, conn)
+            self._pool.release(server_id, conn)
 
     def _server_at(self, endpoint: Endpoint) -> str | None:
         for server in self.newest.servers if self.newest is not None else ():
--- a/src/alderhatch/entry/operator_side.py
+++ b/src/alderhatch/entry/operator_side.py
@@ -59,9 +59,9 @@
             "requests_running": node.core.running,
             "shard_requests_running": node.attempts.running,
             "caller_connections": node.callers.connections,
-            "upstream_connections": node.pool.held,
-            "upstream_connections_opened": node.pool.opened,
-            "upstream_connections_silent": node.pool.silent,
+            "upstream_connections": node.pool.connection_count,
+            "upstream_connections_opened": node.pool.opened_count,
+            "upstream_connections_silent": node.pool.silent_count,
             "shard_requests_sent": node.core.shard_requests_sent,
             "shard_requests_needed": node.core.shard_requests_needed,
         }
@@ -109,7 +109,7 @@
         pool = self._node.pool
         lines: list[dict[str, object]] = []
         for server_id in pool.server_ids()[:MAX_SHOWN]:
-            idle, busy = pool.held_to(server_id)
+            idle, busy = pool.idle_and_busy_counts(server_id)
             share = pool.share_of(server_id)
             lines.append({"server": server_id, "share": share, "idle": idle, "busy": busy})
         return lines
--- a/src/alderhatch/entry/owner_client.py
+++ b/src/alderhatch/entry/owner_client.py
@@ -36,7 +36,7 @@
 """The load that a link without an answer yet is held to have: any other owner goes first."""
 
 
-class OwnerPlace(NamedTuple):
+class OwnerAddress(NamedTuple):
     """Where an entry takes links of others."""
 
     address: str
@@ -76,7 +76,7 @@
         self._clock = LoopClock()
         self._codec = Codec(*OWNER_MESSAGES)
         self._owners: Callable[[str], Sequence[str]] = lambda server_id: ()
-        self._places: Mapping[str, OwnerPlace] = {}
+        self._places: Mapping[str, OwnerAddress] = {}
         self._links: dict[str, OwnerLink] = {}
         self._dialled: dict[str, trio.CancelScope] = {}
         self._dial_after: dict[str, Millis] = {}
@@ -87,7 +87,7 @@
         await self._tasks.run(task_status)
 
     def set_owners(
-        self, places: Mapping[str, OwnerPlace], owners: Callable[[str], Sequence[str]]
+        self, places: Mapping[str, OwnerAddress], owners: Callable[[str], Sequence[str]]
     ) -> None:
         """Take where entries take links, and who owns a server by its id."""
         self._places = places
@@ -96,7 +96,7 @@
             if name not in places:
                 scope.cancel()
 
-    def reaches(self, server_id: str) -> bool:
+    def can_reach(self, server_id: str) -> bool:
         """Return whether some other entry owns a server."""
         return any(name in self._places for name in self._owners(server_id))
 
@@ -145,7 +145,7 @@
 
         return await self._call(send.server_id, make, send.request.body)
 
-    async def look(self, server_id: str, path: str, timeout: Millis) -> HttpReply:
+    async def fetch_path(self, server_id: str, path: str, timeout: Millis) -> HttpReply:
         """Read a path of a server through one of its owners.
 
         Raises:
--- a/src/alderhatch/entry/owner_server.py
+++ b/src/alderhatch/entry/owner_server.py
@@ -16,7 +16,7 @@
 from ..link import Link, LinkClosedError, Peer, serve_links
 from ..log import log_event
 from ..log_events import LogEvent
-from .attempt_faults import FAULTS
+from .attempt_faults import ATTEMPT_FAULTS
 from .attempt_runner import SHARD_PATH, UNTRUE
 from .connection_pool import ConnectionPool
 from .health_poller import HEALTH_PATH
@@ -167,13 +167,13 @@
         deadline = self._clock.now() + (LOOK_TIMEOUT if isinstance(call, Look) else call.time_left)
         try:
             wait = max(0.0, deadline - self._clock.now())
-            conn = await self._pool.take_within(call.server_id, wait)
+            conn = await self._pool.acquire_within(call.server_id, wait)
             reply = await self._ask(conn, call, body, deadline - self._clock.now())
         except HttpExchangeError as exc:
-            return Refusal(call.number, FAULTS[exc.fault])
+            return Refusal(call.number, ATTEMPT_FAULTS[exc.fault])
         finally:
             if conn is not None:
-                self._pool.give_back(call.server_id, conn)
+                self._pool.release(call.server_id, conn)
         if reply is None:
             return Refusal(call.number, AttemptFault.NOT_SENT)
         return ServerReply(call.number, reply.status, reply.header(b"retry-after"), reply.body)
--- a/src/alderhatch/entry/server_connections.py
+++ b/src/alderhatch/entry/server_connections.py
@@ -55,10 +55,10 @@
         self._closed_at: deque[Millis] = deque()
         self._backoff: Millis = 0.0
         self._retry_at: Millis = 0.0
-        self.silent = 0
+        self.silent_count = 0
         """Connections that went silent so far."""
 
-    def held(self, now: Millis) -> int:
+    def counted_connections(self, now: Millis) -> int:
         """Return how many connections the server may still count as this entry's."""
         # A server that has not yet seen the old connection close counts it along with its
         # successor. Opened at once, the successor would be one too many there, and be refused.
@@ -66,7 +66,7 @@
             self._closed_at.popleft()
         return len(self.idle) + len(self.busy) + self.opening + len(self._closed_at)
 
-    def take_idle(self, now: Millis) -> HttpConnection | None:
+    def acquire_idle(self, now: Millis) -> HttpConnection | None:
         """Return the connection that was used last, or None if there is no live idle one."""
         while self.idle:
             conn = self.idle.pop()
@@ -77,11 +77,11 @@
             self.drop(conn, now)
         return None
 
-    def take_oldest_idle(self, now: Millis) -> HttpConnection | None:
+    def acquire_oldest_idle(self, now: Millis) -> HttpConnection | None:
         """Return the idle connection that was unused for longest, or None."""
         if self.idle:
             self.idle.rotate(1)
-        return self.take_idle(now)
+        return self.acquire_idle(now)
 
     def put(self, conn: HttpConnection, now: Millis) -> None:
         """Take a connection that can carry another exchange: for who waits, or for later."""
@@ -127,7 +127,7 @@
         if self.opening or self.retired_at is not None or now < self._retry_at:
             return False
         wanted = bool(self.waiting) or (not self.idle and (self.spare or not self.busy))
-        return wanted and self.held(now) < self.share
+        return wanted and self.counted_connections(now) < self.share
 
     def failed(self, error: HttpExchangeError, now: Millis) -> None:
         """Take note that no connection could be opened, and tell everyone who waits."""
@@ -162,7 +162,7 @@
             # The way between the two ends may have lost track of one connection while new ones
             # work. So it is the connection that goes; whether the server is at fault as well is
             # for the core to judge by what it hears from others.
-            self.silent += 1
+            self.silent_count += 1
             self.drop(conn, now, ExchangeFault.SILENT)
 
     def drop_closed(self, now: Millis) -> None:
--- a/src/alderhatch/entry/upstream_lists.py
+++ b/src/alderhatch/entry/upstream_lists.py
@@ -70,7 +70,7 @@
     """The process that is meant; None stands for all at this address."""
     leaving: bool
 
-    def names(self, address: str, port: int) -> bool:
+    def matches(self, address: str, port: int) -> bool:
         """Return whether this line is about a process at an address and port."""
         return self.address == address and self.port in (None, port)
 
--- a/src/alderhatch/node/forward_runner.py
+++ b/src/alderhatch/node/forward_runner.py
@@ -12,7 +12,7 @@
 from ..core.forwarding.forward_run import ForwardRun
 from ..core.forwarding.outcome import Outcome
 from ..core.forwarding.target_table import EVACUATED_SOURCE
-from ..entry.attempt_faults import FAULTS
+from ..entry.attempt_faults import ATTEMPT_FAULTS
 from ..entry.connection_pool import ConnectionPool
 from ..http.connection import HttpConnection
 from ..http.exchange import ExchangeFault, HttpExchangeError, HttpReply
@@ -89,7 +89,7 @@
             try:
                 reply, reading = await self._exchange(flight, send)
             except HttpExchangeError as exc:
-                reading = Reading(FAULTS[exc.fault])
+                reading = Reading(ATTEMPT_FAULTS[exc.fault])
         now = self._clock.now()
         sent_at = self._table.record_end(send.target, send.attempt)
         if scope.cancelled_caught:
@@ -105,16 +105,16 @@
 
     async def _exchange(self, flight: _Flight, send: Send) -> tuple[HttpReply, Reading]:
         server_id = send.target.server_id
-        conn = self._pool.take_idle(server_id)
+        conn = self._pool.acquire_idle(server_id)
         if conn is None:
-            conn = await self._pool.take(server_id)
+            conn = await self._pool.acquire(server_id)
         try:
             if EVACUATED_SOURCE in send.target.leaving:
                 # The order may have come while this waited for its connection.
                 raise HttpExchangeError("its zone is evacuated", ExchangeFault.NOT_SENT)
             return await self._exchange_on(conn, flight, server_id)
         finally:
-            self._pool.give_back(server_id, conn)
+            self._pool.release(server_id, conn)
 
     async def _exchange_on(
         self, conn: HttpConnection, flight: _Flight, server_id: str
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -230,9 +230,9 @@
             upstream = self.table.upstream(name)
             held = set(self._pool.server_ids(name))
             gone = held - upstream.targets.keys()
-            self._pool.adopt(name, [one.server for one in upstream.targets.values()], gone)
+            self._pool.update_servers(name, [one.server for one in upstream.targets.values()], gone)
         for name in self._pool.upstreams() - self._wanted:
-            self._pool.adopt(name, (), self._pool.server_ids(name))
+            self._pool.update_servers(name, (), self._pool.server_ids(name))
         self._share()
 
     # Requests that crash servers
