--- a/features/steps/entry_connections_steps.py
+++ b/features/steps/entry_connections_steps.py
@@ -170,13 +170,13 @@
             case "start":
                 conns.opening = True
             case "open":
-                if not conns.wants_more(now):
+                if not conns.should_open(now):
                     conns.share += 1
                 conns.opening = False
                 conns.put(FakeConnection(), now)
             case "fail":
                 conns.opening = False
-                conns.failed(HttpExchangeError("refused", ExchangeFault.NOT_SENT), now)
+                conns.record_open_failure(HttpExchangeError("refused", ExchangeFault.NOT_SENT), now)
             case "take":
                 taken.append(conns.acquire_idle(now))
             case "back":
@@ -192,7 +192,7 @@
                 now += 1000
             case "trim":
                 conns.share = share
-                conns.trim(now)
+                conns.trim_to_share(now)
                 now += 1000
         most = max(most, conns.counted_connections(now) if conns.share == share else 0)
     context.pool_counts = (conns, now, most)
@@ -208,7 +208,7 @@
 @then("a further connection is {further}")
 def step_further(context, further):
     conns, now, _ = context.pool_counts
-    assert conns.wants_more(now) == (further == "wanted")
+    assert conns.should_open(now) == (further == "wanted")
 
 
 @given("the entry's rule allows no hedges")
--- a/src/alderhatch/entry/attempt_faults.py
+++ b/src/alderhatch/entry/attempt_faults.py
@@ -1,4 +1,4 @@
-"""What a broken exchange means for an attempt."""
+"""Maps faults of HTTP exchanges to faults of attempts."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
     ExchangeFault.SILENT: AttemptFault.SILENT,
     ExchangeFault.GARBAGE: AttemptFault.GARBAGE,
 }
-"""By the fault of its exchange."""
+"""The attempt fault for each exchange fault."""
--- a/src/alderhatch/entry/connection_pool.py
+++ b/src/alderhatch/entry/connection_pool.py
@@ -1,4 +1,4 @@
-"""Warm connections to the servers of all upstreams, within this entry's shares."""
+"""A pool of connections to the servers of all upstreams, within this entry's shares."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 from .server_connections import ServerConnections, Waiter
 
 DEFAULT_SHARE = 2
-OPENINGS_AT_ONCE = 16
+MAX_CONCURRENT_OPENS = 16
 CONNECT_TIMEOUT: Millis = 2000.0
-SWEEP_EVERY: Millis = 100.0
-SURPLUS_AFTER: Millis = 3 * SECOND
-"""Without spares, how long a second connection to a server is kept when it is not needed."""
-LOOK_EVERY_SWEEPS = 10
-"""Each server's idle connections are looked at in one of so many sweeps; servers close what was
-idle for some seconds, and a request that finds its connection closed waits for a new one."""
-MAX_AGE: Millis = 10 * MINUTE
-RETIRE_AFTER: Millis = 60 * SECOND
-"""How long a server that left the map is kept for queries that still pin the old one."""
+SWEEP_INTERVAL: Millis = 100.0
+SURPLUS_IDLE_TIME: Millis = 3 * SECOND
+"""Without spares, how long an idle connection to a server is kept besides the last used one."""
+SWEEPS_PER_LIVENESS_CHECK = 10
+"""The idle connections of a server are checked for closure once in this many sweeps. Servers close
+connections that are idle for some seconds, and a request that finds only closed ones has to wait
+for a new one."""
+MAX_CONNECTION_AGE: Millis = 10 * MINUTE
+RETIRED_SERVER_RETENTION: Millis = 60 * SECOND
+"""How long a server that left the shard map is kept for queries pinned to an older map."""
 
 
 class ConnectionPool:
-    """Hands out connections. A busy one belongs to whoever took it.
+    """Hands out connections; each is used exclusively until it is released.
 
-    A query never opens a connection when one is idle, and a spare is opened ahead in the
-    background as long as the share allows.
+    No connection is opened for a request while one is idle. As far as the share allows, a spare
+    connection is opened in the background ahead of demand.
 
     Args:
-        default_share: Connections to each server as long as no lease gives shares.
-        progress_timeout: How long an exchange may stand still, in milliseconds.
-        spares: Whether spares are opened ahead and kept.
+        default_share: The number of connections to each server while no shares are set.
+        progress_timeout: How long an exchange may make no progress, in milliseconds.
+        spares: Whether spare connections are opened ahead of demand and kept.
     """
 
     def __init__(
@@ -50,18 +51,18 @@
         self._progress_timeout = progress_timeout
         self._spares = spares
         self.keeps_warm: Callable[[str], bool] = lambda upstream: True
-        """Whether a connection to each server of an upstream is opened ahead; else only when one is
-        asked for."""
+        """Whether a connection to each server of an upstream is opened ahead of demand; otherwise
+        one is opened only when a request waits for it."""
         self._sweeps = 0
         self._shares: Mapping[str, int] | None = None
         self._servers: dict[str, ServerConnections] = {}
-        self._openings = trio.CapacityLimiter(OPENINGS_AT_ONCE)
+        self._open_limiter = trio.CapacityLimiter(MAX_CONCURRENT_OPENS)
         self._nursery: trio.Nursery | None = None
         self.opened_count = 0
-        """Connections opened so far."""
+        """The number of connections opened so far."""
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Open, watch and close connections until cancelled."""
+        """Open, monitor and close connections until cancelled."""
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -73,48 +74,48 @@
 
     @property
     def connection_count(self) -> int:
-        """How many connections there are."""
+        """The number of open connections."""
         return sum(len(conns.idle) + len(conns.busy) for conns in self._servers.values())
 
     def idle_and_busy_counts(self, server_id: str) -> tuple[int, int]:
-        """Return how many idle and how many busy connections there are to a server."""
+        """Return the numbers of idle and of busy connections to a server."""
         conns = self._servers.get(server_id)
         return (len(conns.idle), len(conns.busy)) if conns is not None else (0, 0)
 
     @property
     def silent_count(self) -> int:
-        """How many connections were dropped because nothing moved on them."""
+        """The number of connections closed so far because they made no progress."""
         return sum(conns.silent_count for conns in self._servers.values())
 
     def set_shares(self, shares: Mapping[str, int] | None) -> None:
-        """Hold no more connections to each server than this.
+        """Set the maximum number of connections to each server.
 
         Args:
-            shares: By server id; a server that is not named gets none. None stands for the
-                default share for each.
+            shares: The maximum by server ID; a server that is not listed gets no connection. None
+                stands for the default share for every server.
         """
         self._shares = shares
         now = self._clock.now()
         for server_id, conns in self._servers.items():
             conns.share = self.share_of(server_id)
-            conns.trim(now)
-            self._grow(conns)
+            conns.trim_to_share(now)
+            self._open_if_needed(conns)
 
     def share_of(self, server_id: str) -> int:
-        """Return how many connections this entry may hold to a server."""
+        """Return the maximum number of connections of this entry to a server."""
         if self._shares is None:
             return self._default_share
         return self._shares.get(server_id, 0)
 
     def within_shares(self) -> bool:
-        """Return whether no server may count more connections than its share."""
+        """Return whether no server can count more connections of this entry than its share."""
         now = self._clock.now()
         return all(
             conns.counted_connections(now) <= conns.share for conns in self._servers.values()
         )
 
     def server_ids(self, upstream: str | None = None) -> list[str]:
-        """Return the ids of the known servers, of one upstream or of all."""
+        """Return the IDs of the known servers of one upstream or of all upstreams."""
         return [
             server_id
             for server_id, conns in self._servers.items()
@@ -122,16 +123,18 @@
         ]
 
     def upstreams(self) -> set[str]:
-        """Return the names of the upstreams to whose servers there are connections."""
+        """Return the names of the upstreams with servers that have not left the shard map."""
         return {conns.upstream for conns in self._servers.values() if conns.retired_at is None}
 
-    def update_servers(self, upstream: str, servers: Iterable[Server], gone: Iterable[str]) -> None:
-        """Prepare connections to servers of a new map.
+    def update_servers(
+        self, upstream: str, servers: Iterable[Server], removed_ids: Iterable[str]
+    ) -> None:
+        """Take over the servers of a new shard map.
 
         Args:
             upstream: The upstream's name.
-            servers: All servers of its newest map.
-            gone: Ids of servers that were in the map before.
+            servers: All servers of its newest shard map.
+            removed_ids: IDs of servers that left the shard map.
         """
         now = self._clock.now()
         for server in servers:
@@ -145,60 +148,66 @@
                 upstream, server, self.share_of(server.server_id), self._spares
             )
             self._servers[server.server_id] = conns
-            self._grow(conns)
-        for server_id in gone:
+            self._open_if_needed(conns)
+        for server_id in removed_ids:
             known = self._servers.get(server_id)
             if known is not None and known.retired_at is None:
                 known.retired_at = now
 
     def acquire_idle(self, server_id: str) -> HttpConnection | None:
-        """Return a live idle connection to a server at once, or None."""
+        """Return a live idle connection to a server without waiting, or None if there is none."""
         conns = self._servers.get(server_id)
         if conns is None:
             return None
         conn = conns.acquire_idle(self._clock.now())
         if not conns.idle:
-            self._grow(conns)
+            self._open_if_needed(conns)
         return conn
 
     def acquire_oldest_idle(self, server_id: str) -> HttpConnection | None:
-        """Return the live connection that was idle for longest at once, or None."""
+        """Return the live connection that was idle for longest without waiting, or None."""
         conns = self._servers.get(server_id)
         return None if conns is None else conns.acquire_oldest_idle(self._clock.now())
 
     async def acquire(self, server_id: str) -> HttpConnection:
-        """Return a connection to a server: an idle one at once, else the next one there is.
+        """Return a connection to a server: an idle one at once, else the next available one.
 
         Raises:
-            HttpExchangeError: Of the fault ``not_sent`` if no connection can be opened.
+            HttpExchangeError: With the fault ``not_sent`` if no connection can be opened.
         """
         conn = self.acquire_idle(server_id)
         if conn is not None:
             return conn
         conns = self._servers.get(server_id)
         if conns is None or conns.share == 0:
-            raise HttpExchangeError(f"no share of {server_id}", ExchangeFault.NOT_SENT)
-        if conns.unreachable(self._clock.now()):
-            raise HttpExchangeError(f"{server_id} was unreachable", ExchangeFault.NOT_SENT)
-        return await self._wait(conns)
+            raise HttpExchangeError(
+                f"no connection to {server_id} allowed by the shares of this entry",
+                ExchangeFault.NOT_SENT,
+            )
+        if conns.is_unreachable(self._clock.now()):
+            raise HttpExchangeError(
+                f"{server_id} could not be reached; waiting before the next connection attempt",
+                ExchangeFault.NOT_SENT,
+            )
+        return await self._wait_for_connection(conns)
 
     async def acquire_within(self, server_id: str, timeout: Millis) -> HttpConnection:
-        """Return a connection as ``acquire`` does, but wait no longer than a time in milliseconds.
+        """Return a connection as ``acquire`` does, but wait at most ``timeout`` milliseconds.
 
         Raises:
-            HttpExchangeError: Of the fault ``not_sent`` if there is none in time.
+            HttpExchangeError: With the fault ``not_sent`` if none is available in time.
         """
         try:
             with trio.fail_after(timeout / SECOND):
                 return await self.acquire(server_id)
         except trio.TooSlowError as exc:
-            message = f"no free connection to {server_id}"
+            message = f"no connection to {server_id} became free in time"
             raise HttpExchangeError(message, ExchangeFault.NOT_SENT) from exc
 
-    async def _wait(self, conns: ServerConnections) -> HttpConnection:
+    async def _wait_for_connection(self, conns: ServerConnections) -> HttpConnection:
         waiter = Waiter()
         conns.waiting.append(waiter)
-        self._grow(conns)
+        self._open_if_needed(conns)
         try:
             await waiter.ready.wait()
         except trio.Cancelled:
@@ -213,7 +222,7 @@
         return waiter.conn
 
     def release(self, server_id: str, conn: HttpConnection) -> None:
-        """Keep a connection for the next exchange, or close it if it can't carry one."""
+        """Return a connection to the pool; it is closed if it can't carry another exchange."""
         conns = self._servers.get(server_id)
         if conns is None or conn not in conns.busy:
             conn.close()
@@ -223,10 +232,10 @@
             conns.put(conn, now)
             return
         conns.drop(conn, now)
-        self._grow(conns)
+        self._open_if_needed(conns)
 
-    def _grow(self, conns: ServerConnections) -> None:
-        if self._nursery is None or not conns.wants_more(self._clock.now()):
+    def _open_if_needed(self, conns: ServerConnections) -> None:
+        if self._nursery is None or not conns.should_open(self._clock.now()):
             return
         if not conns.waiting and not self.keeps_warm(conns.upstream):
             return
@@ -236,11 +245,11 @@
     async def _open(self, conns: ServerConnections) -> None:
         server = conns.server
         try:
-            async with self._openings:
+            async with self._open_limiter:
                 conn = await open_http(server.address, server.port, CONNECT_TIMEOUT)
         except HttpExchangeError as exc:
             conns.opening = False
-            conns.failed(exc, self._clock.now())
+            conns.record_open_failure(exc, self._clock.now())
             return
         finally:
             conns.opening = False
@@ -249,35 +258,36 @@
             conn.close()
             return
         conns.put(conn, self._clock.now())
-        self._grow(conns)
+        self._open_if_needed(conns)
 
     async def _sweep(self) -> None:
         try:
             swept_at = self._clock.now()
             while True:
-                await trio.sleep(SWEEP_EVERY / SECOND)
+                await trio.sleep(SWEEP_INTERVAL / SECOND)
                 now = self._clock.now()
-                # While this process itself stood still, nobody read what had come. Without the
-                # allowance, one stall would drop every connection that was busy as silent.
-                stall = max(0.0, now - swept_at - SWEEP_EVERY)
+                # While this process is stalled, it reads nothing that arrives. The time of the
+                # stall is not counted as silence; otherwise a stall would close every busy
+                # connection.
+                stall = max(0.0, now - swept_at - SWEEP_INTERVAL)
                 self._sweep_once(now, stall)
                 swept_at = now
         finally:
-            # The nursery closes after its last task. Exchanges that end later, while the entry is
-            # on its way down, still give connections back and must open no new ones.
+            # The nursery closes after its last task. Exchanges that end later, during shutdown,
+            # still release connections, which must not open new ones.
             self._nursery = None
 
     def _sweep_once(self, now: Millis, stall: Millis) -> None:
         self._sweeps += 1
         for index, (server_id, conns) in enumerate(list(self._servers.items())):
-            if (index + self._sweeps) % LOOK_EVERY_SWEEPS == 0:
+            if (index + self._sweeps) % SWEEPS_PER_LIVENESS_CHECK == 0:
                 conns.drop_closed(now)
             conns.drop_silent(now - self._progress_timeout - stall, now)
-            conns.drop_old(now - MAX_AGE, now)
+            conns.drop_old(now - MAX_CONNECTION_AGE, now)
             if not self._spares:
-                conns.drop_surplus(now - SURPLUS_AFTER, now)
-            self._grow(conns)
-            if conns.retired_at is not None and conns.retired_at + RETIRE_AFTER <= now:
+                conns.drop_surplus(now - SURPLUS_IDLE_TIME, now)
+            self._open_if_needed(conns)
+            if conns.retired_at is not None and conns.retired_at + RETIRED_SERVER_RETENTION <= now:
                 conns.close_all(now)
                 if not conns.busy and not conns.waiting:
                     del self._servers[server_id]
--- a/src/alderhatch/entry/health_poller.py
+++ b/src/alderhatch/entry/health_poller.py
@@ -1,4 +1,4 @@
-"""Reads the health endpoints of one upstream's servers, over the warm connections."""
+"""Polls the health endpoints of one upstream's servers over pooled connections."""
 
 from __future__ import annotations
 
@@ -19,26 +19,25 @@
 
 HEALTH_PATH = "/health"
 PROBE_TIMEOUT: Millis = 1000.0
-TRIES = 2
-TURNS_PER_LOOK = 10
-"""A server that only other entries hold connections to is asked for in one of so many turns: its
-owners ask it in each, and its answers to queries bring its load along."""
+MAX_PROBE_ATTEMPTS = 2
+ROUNDS_PER_OWNER_PROBE = 10
+"""A server to which only other entries hold connections is probed once in this many rounds. Its
+owners probe it in every round, and its answers to queries report its load."""
 MAX_HEALTH_BYTES = 65_536
 
 
 class HealthPoller:
-    """Asks each server in turn, so that each is asked once an interval.
+    """Probes the servers one after the other, each once per interval.
 
-    The probes go over the connections that queries use. So a connection that went silent while
-    it was idle is found before a query is sent on it, and no place of the server's limit is spent
-    on probes.
+    Probes use the same connections as queries. So a connection that went silent while idle is
+    found before a query is sent on it, and probes take nothing of the server's connection limit.
 
     Args:
         cfg: The upstream's settings.
-        pool: The connections.
-        current_map: Returns the newest shard map, or None.
-        report: Takes what was found.
-        owners: Reaches servers through other entries, if there is such a way.
+        pool: The connections to the servers.
+        current_map: Returns the newest shard map, or None if there is none yet.
+        report: Receives the result of each probe.
+        owners: Reaches servers through other entries; None if this entry has no links to them.
     """
 
     def __init__(
@@ -56,87 +55,91 @@
         self._owners = owners
         self._clock = LoopClock()
         self._probing: set[str] = set()
-        self._hurried: set[str] = set()
+        self._reprobe: set[str] = set()
         self._nursery: trio.Nursery | None = None
 
     def probe_now(self, server_id: str) -> None:
-        """Probe a server now, if it is one of this upstream's."""
+        """Probe a server now if it belongs to this upstream."""
         shard_map = self._current_map()
         if shard_map is None or server_id not in shard_map.by_server_id:
             return
         if server_id in self._probing:
-            # The probe under way was sent before whatever made the core ask; its answer may be
-            # older than that.
-            self._hurried.add(server_id)
+            # The running probe was sent before the event that led to this call, so its answer may
+            # not reflect it. Another probe follows.
+            self._reprobe.add(server_id)
             return
-        self._start(server_id, hurried=True)
+        self._start(server_id, urgent=True)
 
-    def _start(self, server_id: str, hurried: bool = False) -> None:
+    def _start(self, server_id: str, urgent: bool = False) -> None:
         if self._nursery is not None and server_id not in self._probing:
-            self._nursery.start_soon(self._probe, server_id, hurried)
+            self._nursery.start_soon(self._probe, server_id, urgent)
 
     async def run(self) -> None:
         """Probe until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
-                await self._take_turns()
+                await self._probe_in_rounds()
             finally:
                 self._nursery = None
 
-    async def _take_turns(self) -> None:
-        turn = 0
+    async def _probe_in_rounds(self) -> None:
+        probe_round = 0
         while True:
             shard_map = self._current_map()
             servers = shard_map.servers if shard_map is not None else ()
-            turn += bool(servers)
+            probe_round += bool(servers)
             for server in servers:
-                if self._pool.share_of(server.server_id) or turn % TURNS_PER_LOOK == 1:
+                if (
+                    self._pool.share_of(server.server_id)
+                    or probe_round % ROUNDS_PER_OWNER_PROBE == 1
+                ):
                     self._start(server.server_id)
                 await trio.sleep(self._cfg.health_poll_ms / SECOND / len(servers))
             if not servers:
                 await trio.sleep(self._cfg.health_poll_ms / SECOND)
 
-    async def _probe(self, server_id: str, hurried: bool) -> None:
+    async def _probe(self, server_id: str, urgent: bool) -> None:
         self._probing.add(server_id)
         try:
-            for _ in range(TRIES):
-                if await self._ask(server_id, hurried):
+            for _ in range(MAX_PROBE_ATTEMPTS):
+                if await self._probe_once(server_id, urgent):
                     return
             self._report(HealthReported(server_id, ServerState.UNREACHABLE, None, None))
         finally:
             self._probing.discard(server_id)
-            if server_id in self._hurried:
-                self._hurried.discard(server_id)
-                self._start(server_id, hurried=True)
+            if server_id in self._reprobe:
+                self._reprobe.discard(server_id)
+                self._start(server_id, urgent=True)
 
-    async def _ask(self, server_id: str, hurried: bool) -> bool:
-        """Ask once; return whether there is nothing more to find out in this round."""
+    async def _probe_once(self, server_id: str, urgent: bool) -> bool:
+        """Send one probe; return whether the round is over for this server."""
         if self._pool.share_of(server_id) == 0:
-            return await self._ask_owner(server_id)
+            return await self._probe_through_owner(server_id)
         idle, busy = self._pool.idle_and_busy_counts(server_id)
-        if busy and not idle and not hurried:
-            # Every connection carries a query. Its answer tells more than a probe would, and a
-            # probe that waited for it would hold up the next query.
+        if busy and not idle and not urgent:
+            # All connections carry queries. Their answers tell more than a probe, and a probe that
+            # waits for a connection would delay the next query.
             return True
-        asked_at = self._clock.now()
+        sent_at = self._clock.now()
         try:
-            health = await self._exchange(server_id)
+            health = await self._fetch_health(server_id)
         except ProtocolError:
             return False
         except HttpExchangeError as exc:
-            # One silent or broken connection says little of the server; another one tells.
+            # One silent or broken connection says little about the server; the next attempt uses
+            # another one.
             if exc.fault is not ExchangeFault.NOT_SENT:
                 return False
             self._report(HealthReported(server_id, ServerState.UNREACHABLE, None, None))
             return True
-        self._report(HealthReported(server_id, health.state, health.load, health.boot_id, asked_at))
+        self._report(HealthReported(server_id, health.state, health.load, health.boot_id, sent_at))
         return True
 
-    async def _ask_owner(self, server_id: str) -> bool:
+    async def _probe_through_owner(self, server_id: str) -> bool:
         if self._owners is None or not self._owners.can_reach(server_id):
             return True
-        asked_at = self._clock.now()
+        sent_at = self._clock.now()
         try:
             health = parse_health(
                 await self._owners.fetch_path(server_id, HEALTH_PATH, PROBE_TIMEOUT)
@@ -144,12 +147,12 @@
         except ProtocolError:
             return False
         except OwnerCallError as exc:
-            # An owner that is lost, or has no room, says nothing of the server.
+            # A lost or overloaded owner says nothing about the server.
             return exc.fault is not AttemptFault.LOST
-        self._report(HealthReported(server_id, health.state, health.load, health.boot_id, asked_at))
+        self._report(HealthReported(server_id, health.state, health.load, health.boot_id, sent_at))
         return True
 
-    async def _exchange(self, server_id: str) -> Health:
+    async def _fetch_health(self, server_id: str) -> Health:
         conn = self._pool.acquire_oldest_idle(server_id)
         if conn is None:
             conn = await self._pool.acquire_within(server_id, PROBE_TIMEOUT)
--- a/src/alderhatch/entry/owner_messages.py
+++ b/src/alderhatch/entry/owner_messages.py
@@ -1,4 +1,4 @@
-"""What entries say to each other: shard requests for servers whose connections another one owns."""
+"""Messages between entries: requests to servers whose connections another entry owns."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class ShardCall(NamedTuple):
-    """One shard request that an owner is to send to a server."""
+    """A shard request that the owner sends to a server."""
 
     number: int
-    """Names it on this link; never used again there."""
+    """Identifies the call on this link; never reused on it."""
     server_id: str
     upstream: str
     shard: str
     version: int
     epoch: int
     time_left: Millis
-    """Until the answer is of no use, less what the way takes."""
+    """The time until the answer is useless, less the round-trip time of the link."""
     shard_request_id: str
     request_id: str
     kind: str
     idempotent: bool
     body: int
-    """Which of the bodies that come along is the query."""
+    """The index of the query in ``OwnerCalls.bodies``."""
 
 
 class Look(NamedTuple):
-    """One path of a server that is to be read, such as its health."""
+    """A read of a path of a server, such as its health."""
 
     number: int
     server_id: str
@@ -39,18 +39,18 @@
 
 
 class OwnerCalls(NamedTuple):
-    """All that leaves a front for one owner in the same moment."""
+    """A batch of calls and cancellations from the requesting entry to an owner."""
 
     calls: list[ShardCall]
     bodies: list[bytes]
-    """The queries as JSON; shard requests of one query share theirs."""
+    """The queries as JSON; shard requests of one query share one body."""
     looks: list[Look]
     cancelled: list[int]
-    """Numbers whose answers nobody waits for any more."""
+    """The numbers of calls whose answers are no longer awaited."""
 
 
 class ServerReply(NamedTuple):
-    """A server's whole response, as it came."""
+    """The response of a server to a call."""
 
     number: int
     status: int
@@ -59,28 +59,29 @@
 
 
 class Refusal(NamedTuple):
-    """Why there is no response of the server."""
+    """A call that ended without a response of the server."""
 
     number: int
     fault: AttemptFault
-    """As the owner saw it on its connection; ``not_sent`` and ``shed`` are truly not run."""
+    """The fault as observed by the owner; after ``not_sent`` and ``shed`` the call did not run."""
 
 
 class OwnerAnswers(NamedTuple):
-    """All that leaves an owner for one front in the same moment; empty ones show that it lives."""
+    """A batch of answers from an owner to the requesting entry; an empty one is a keepalive."""
 
     replies: list[ServerReply]
     refusals: list[Refusal]
 
 
 OWNER_MESSAGES = (OwnerCalls, OwnerAnswers)
-"""The messages of this protocol, for the codec of the links."""
+"""The message types of this protocol, for the codec of the links."""
 
 MAX_IN_FLIGHT = 4096
-"""Calls on one link that are not answered; one more is shed."""
+"""The maximum number of unanswered calls on one link; further calls are shed."""
 MAX_BODY_BYTES = 2 * 1024 * 1024
-"""The largest query or answer that goes over a link."""
+"""The maximum size of a query or an answer on a link."""
 BATCH_BYTES = 1024 * 1024
-"""A message is sent once it holds this much, so that none nears the limit of the links."""
-ALIVE_EVERY: Millis = 200.0
-"""How often an owner says something while it has work of a front."""
+"""A batch with bodies of this size gets no further ones, which keeps messages well below the size
+limit of links."""
+KEEPALIVE_INTERVAL: Millis = 200.0
+"""The interval of keepalives from an owner while it runs calls of the requesting entry."""
--- a/src/alderhatch/entry/owner_server.py
+++ b/src/alderhatch/entry/owner_server.py
@@ -1,4 +1,4 @@
-"""An owner's side: runs other entries' shard requests over its own connections."""
+"""Runs shard requests of other entries over the connections that this entry owns."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from ..log import log_event
 from ..log_events import LogEvent
 from .attempt_faults import ATTEMPT_FAULTS
-from .attempt_runner import SHARD_PATH, UNTRUE
+from .attempt_runner import INVALID_ANSWER_FAULTS, SHARD_PATH
 from .connection_pool import ConnectionPool
 from .health_poller import HEALTH_PATH
 from .map_poller import MAP_PATH
 from .owner_messages import (
-    ALIVE_EVERY,
     BATCH_BYTES,
     ENTRY_ROLE,
+    KEEPALIVE_INTERVAL,
     MAX_BODY_BYTES,
     MAX_IN_FLIGHT,
     OWNER_MESSAGES,
@@ -35,50 +35,51 @@
     ServerReply,
     ShardCall,
 )
-from .upstream_protocol import read_reply, shard_request_body
+from .upstream_protocol import parse_shard_reply, shard_request_body
 
-LOOKS = (HEALTH_PATH, MAP_PATH)
-LOOK_TIMEOUT: Millis = 1000.0
+READABLE_PATHS = (HEALTH_PATH, MAP_PATH)
+READ_TIMEOUT: Millis = 1000.0
 QUEUE_PER_CONNECTION = 4
-"""Shard requests of others for one server, for each connection to it; one more is shed."""
+"""The maximum number of other entries' shard requests to one server, for each connection in the
+share; further ones are shed."""
 
 
 class OwnerServer:
-    """Takes links of other entries.
+    """Accepts links of other entries.
 
     Args:
         name: This entry's name.
-        secret: The secret shared by our own processes.
-        pool: The connections.
+        secret: The secret shared by all processes of the tier.
+        pool: The connections to the servers.
     """
 
     def __init__(self, name: str, secret: bytes, pool: ConnectionPool) -> None:
-        self._me = Peer(name, ENTRY_ROLE)
+        self._identity = Peer(name, ENTRY_ROLE)
         self._secret = secret
         self.pool = pool
-        self.on_server: Counter[str] = Counter()
-        """Shard requests of others that are under way, by server."""
+        self.running_by_server: Counter[str] = Counter()
+        """The number of other entries' running shard requests, by server ID."""
         self.links: set[Link] = set()
-        """The links that are open."""
+        """The open links."""
         self.closing = False
-        """Whether new calls are refused, as not run."""
+        """Whether new calls are refused with the fault ``not_sent``."""
 
     @property
     def running(self) -> int:
-        """How many shard requests of other entries are under way."""
-        return self.on_server.total()
+        """The number of other entries' running shard requests."""
+        return self.running_by_server.total()
 
     async def serve(
         self,
         listeners: list[trio.SocketListener],
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Take links until cancelled."""
+        """Accept links until cancelled."""
         await serve_links(
             listeners,
             Codec(*OWNER_MESSAGES),
             self._secret,
-            self._me,
+            self._identity,
             self._handle,
             task_status=task_status,
         )
@@ -89,16 +90,16 @@
             return
         self.links.add(link)
         try:
-            await _FrontLink(self, link).run()
+            await _RequesterLink(self, link).run()
         except* LinkClosedError:
-            # The front is gone; what it wanted was cancelled with its tasks.
+            # The requesting entry is gone; its calls were cancelled with the nursery.
             pass
         finally:
             self.links.discard(link)
 
 
-class _FrontLink:
-    """The calls of one front."""
+class _RequesterLink:
+    """The calls of one requesting entry."""
 
     def __init__(self, owner: OwnerServer, link: Link) -> None:
         self._owner = owner
@@ -107,23 +108,25 @@
         self._clock = LoopClock()
         self._scopes: dict[int, trio.CancelScope] = {}
         self._answers: list[ServerReply | Refusal] = []
-        self._work = trio.Event()
+        self._answers_available = trio.Event()
 
     async def run(self) -> None:
-        """Serve until the link ends; what still runs for its front then is of use to nobody."""
+        """Serve the calls until the link ends; calls that still run then are cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send)
-            nursery.start_soon(self._show_life)
+            nursery.start_soon(self._send_keepalives)
             while True:
                 message = await self._link.receive()
                 if not isinstance(message, OwnerCalls):
-                    raise LinkClosedError("a front sent what is no call")
-                self._take(message, nursery)
+                    raise LinkClosedError(
+                        "expected OwnerCalls from the requesting entry, got another message"
+                    )
+                self._handle_calls(message, nursery)
 
-    def _take(self, message: OwnerCalls, nursery: trio.Nursery) -> None:
+    def _handle_calls(self, message: OwnerCalls, nursery: trio.Nursery) -> None:
         for call in message.calls:
             if call.body >= len(message.bodies) or call.body < 0:
-                raise LinkClosedError("a call without its query")
+                raise LinkClosedError("calls.body: expected an index into bodies")
             self._start(nursery, call, message.bodies[call.body])
         for look in message.looks:
             self._start(nursery, look, b"")
@@ -133,20 +136,20 @@
                 scope.cancel()
 
     def _start(self, nursery: trio.Nursery, call: ShardCall | Look, body: bytes) -> None:
-        refused = self._refuse(call)
-        if refused is not None:
-            self._answer(Refusal(call.number, refused))
+        refusal_fault = self._refusal_fault(call)
+        if refusal_fault is not None:
+            self._answer(Refusal(call.number, refusal_fault))
             return
         scope = self._scopes[call.number] = trio.CancelScope()
         if isinstance(call, ShardCall):
-            self._owner.on_server[call.server_id] += 1
+            self._owner.running_by_server[call.server_id] += 1
         nursery.start_soon(self._run, call, body, scope)
 
-    def _refuse(self, call: ShardCall | Look) -> AttemptFault | None:
+    def _refusal_fault(self, call: ShardCall | Look) -> AttemptFault | None:
         share = self._pool.share_of(call.server_id)
         if self._owner.closing or share == 0:
             return AttemptFault.NOT_SENT
-        waiting = self._owner.on_server[call.server_id]
+        waiting = self._owner.running_by_server[call.server_id]
         if len(self._scopes) >= MAX_IN_FLIGHT or waiting >= QUEUE_PER_CONNECTION * share:
             return AttemptFault.SHED
         return None
@@ -160,15 +163,15 @@
         finally:
             self._scopes.pop(call.number, None)
             if isinstance(call, ShardCall):
-                self._owner.on_server[call.server_id] -= 1
+                self._owner.running_by_server[call.server_id] -= 1
 
     async def _exchange(self, call: ShardCall | Look, body: bytes) -> ServerReply | Refusal:
         conn: HttpConnection | None = None
-        deadline = self._clock.now() + (LOOK_TIMEOUT if isinstance(call, Look) else call.time_left)
+        deadline = self._clock.now() + (READ_TIMEOUT if isinstance(call, Look) else call.time_left)
         try:
             wait = max(0.0, deadline - self._clock.now())
             conn = await self._pool.acquire_within(call.server_id, wait)
-            reply = await self._ask(conn, call, body, deadline - self._clock.now())
+            reply = await self._send_to_server(conn, call, body, deadline - self._clock.now())
         except HttpExchangeError as exc:
             return Refusal(call.number, ATTEMPT_FAULTS[exc.fault])
         finally:
@@ -178,59 +181,59 @@
             return Refusal(call.number, AttemptFault.NOT_SENT)
         return ServerReply(call.number, reply.status, reply.header(b"retry-after"), reply.body)
 
-    async def _ask(
+    async def _send_to_server(
         self, conn: HttpConnection, call: ShardCall | Look, body: bytes, remaining: Millis
     ) -> HttpReply | None:
-        """Return the server's response; None if there was no time left to send anything."""
+        """Return the server's response, or None if no time was left to send the request."""
         if remaining < 1:
             return None
         if isinstance(call, Look):
-            path = call.path if call.path in LOOKS else HEALTH_PATH
+            path = call.path if call.path in READABLE_PATHS else HEALTH_PATH
             return await conn.exchange("GET", path, max_body=MAX_BODY_BYTES)
         send = _send_shard(call, body)
         data = shard_request_body(send, remaining)
         reply = await conn.exchange("POST", SHARD_PATH, data, max_body=MAX_BODY_BYTES)
-        event = read_reply(send, reply)
-        if isinstance(event, AttemptFailed) and event.fault in UNTRUE:
-            # The front refuses it by the same check. Here it is the connection that must go: its
-            # next answer may be the one that this request waited for.
+        event = parse_shard_reply(send, reply)
+        if isinstance(event, AttemptFailed) and event.fault in INVALID_ANSWER_FAULTS:
+            # The requesting entry makes the same check and refuses the answer. Here the connection
+            # is closed, as its next answer may be the one to this request.
             conn.usable = False
         return reply
 
     def _answer(self, answer: ServerReply | Refusal) -> None:
         self._answers.append(answer)
-        self._work.set()
+        self._answers_available.set()
 
     async def _send(self) -> None:
         while True:
-            await self._work.wait()
+            await self._answers_available.wait()
             await trio.lowlevel.checkpoint()
-            self._work = trio.Event()
+            self._answers_available = trio.Event()
             while self._answers:
-                await self._link.send(self._gather())
+                await self._link.send(self._next_batch())
 
-    def _gather(self) -> OwnerAnswers:
+    def _next_batch(self) -> OwnerAnswers:
         replies: list[ServerReply] = []
         refusals: list[Refusal] = []
         size = 0
-        taken = 0
+        count = 0
         for answer in self._answers:
             if size >= BATCH_BYTES:
                 break
-            taken += 1
+            count += 1
             if isinstance(answer, Refusal):
                 refusals.append(answer)
             else:
                 replies.append(answer)
                 size += len(answer.body)
-        del self._answers[:taken]
+        del self._answers[:count]
         return OwnerAnswers(replies, refusals)
 
-    async def _show_life(self) -> None:
-        # A server may take longer than a front waits for a sign of life; without these the front
-        # would take an owner that waits for servers as one that is gone.
+    async def _send_keepalives(self) -> None:
+        # A server may take longer to answer than the silence timeout of the requesting entry.
+        # Without keepalives, that entry would give up an owner that only waits for servers.
         while True:
-            await trio.sleep(ALIVE_EVERY / SECOND)
+            await trio.sleep(KEEPALIVE_INTERVAL / SECOND)
             if self._scopes:
                 await self._link.send(OwnerAnswers([], []))
 
--- a/src/alderhatch/entry/platform_poller.py
+++ b/src/alderhatch/entry/platform_poller.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of live and leaving hosts, which lags."""
+"""Polls the platform's list of live and leaving hosts, which lags behind the actual state."""
 
 from __future__ import annotations
 
@@ -20,41 +20,41 @@
 class PlatformPoller:
     """Fetches the list at an interval.
 
-    A list that can't be fetched leaves the last one in place: it is a hint, and to forget that a
-    host is leaving would send it new work.
+    If the list can't be fetched, the last one stays in use: without it, hosts that are leaving
+    would get new requests.
 
     Args:
         endpoint: Where the platform serves the list.
-        interval: Milliseconds between two fetches.
-        take: Takes each list that was read.
+        interval: The time between two fetches, in milliseconds.
+        on_hosts: Receives each list.
     """
 
     def __init__(
         self,
         endpoint: Endpoint,
         interval: Millis,
-        take: Callable[[list[PlatformHost]], None],
+        on_hosts: Callable[[list[PlatformHost]], None],
     ) -> None:
         self._endpoint = endpoint
         self._interval = interval
-        self._take = take
+        self._on_hosts = on_hosts
 
     async def run(self) -> None:
-        """Fetch until cancelled."""
+        """Fetch the list at the interval until cancelled."""
         while True:
             await self.fetch()
             await trio.sleep(self._interval / SECOND)
 
     async def fetch(self) -> None:
         """Fetch the list once."""
-        where = self._endpoint
+        source = self._endpoint
         try:
             reply = await http_once(
-                where.address, where.port, "GET", HOSTS_PATH, timeout=FETCH_TIMEOUT
+                source.address, source.port, "GET", HOSTS_PATH, timeout=FETCH_TIMEOUT
             )
             if reply.status != OK:
                 return
             hosts = parse_hosts(reply.body)
         except (HttpExchangeError, ProtocolError):
             return
-        self._take(hosts)
+        self._on_hosts(hosts)
--- a/src/alderhatch/entry/server_connections.py
+++ b/src/alderhatch/entry/server_connections.py
@@ -1,4 +1,4 @@
-"""The connections to one server: never more of them than this entry's share."""
+"""The connections to one server, never more than this entry's share."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from ..http.exchange import ExchangeFault, HttpExchangeError
 
 CLOSE_LINGER: Millis = 100.0
-"""How long a closed connection still counts: the server may not have seen it close yet."""
-TURNED_AWAY_WITHIN: Millis = 500.0
-"""A server that is full closes a new connection within this time; idle ones are closed later."""
-FIRST_BACKOFF: Millis = 50.0
-LONGEST_BACKOFF: Millis = 5000.0
+"""How long a closed connection still counts, as the server may not have seen the close yet."""
+REJECTION_WINDOW: Millis = 500.0
+"""An unused connection that the server closes within this time was rejected because the server is
+at its limit; idle connections are closed later."""
+MIN_BACKOFF: Millis = 50.0
+MAX_BACKOFF: Millis = 5000.0
 
 
 class Waiter:
-    """Somebody who waits for a connection."""
+    """A task that waits for a connection."""
 
     __slots__ = ("conn", "error", "ready")
 
@@ -31,43 +32,43 @@
 
 
 class ServerConnections:
-    """Counts and hands out the connections to one server; opening them is left to its owner.
+    """Counts and hands out the connections to one server; the pool opens them.
 
     Args:
         upstream: The name of the upstream that the server belongs to.
         server: The server.
-        share: How many connections this entry may hold to it.
-        spare: Whether a connection is opened ahead while all others are busy.
+        share: The maximum number of connections of this entry to it.
+        keeps_spare: Whether a connection is opened ahead of demand while all others are busy.
     """
 
-    def __init__(self, upstream: str, server: Server, share: int, spare: bool = True) -> None:
+    def __init__(self, upstream: str, server: Server, share: int, keeps_spare: bool = True) -> None:
         self.upstream = upstream
         self.server = server
         self.share = share
-        self.spare = spare
+        self.keeps_spare = keeps_spare
         self.idle: deque[HttpConnection] = deque()
-        """Idle connections, the last used at the right."""
+        """Idle connections, the most recently used at the right."""
         self.busy: set[HttpConnection] = set()
         self.opening = False
         self.waiting: deque[Waiter] = deque()
         self.retired_at: Millis | None = None
-        """When the server left the newest shard map; None while it is in it."""
+        """When the server left the shard map; None while it is part of it."""
         self._closed_at: deque[Millis] = deque()
         self._backoff: Millis = 0.0
         self._retry_at: Millis = 0.0
         self.silent_count = 0
-        """Connections that went silent so far."""
+        """The number of connections closed so far because they made no progress."""
 
     def counted_connections(self, now: Millis) -> int:
-        """Return how many connections the server may still count as this entry's."""
-        # A server that has not yet seen the old connection close counts it along with its
-        # successor. Opened at once, the successor would be one too many there, and be refused.
+        """Return the number of connections that the server may count for this entry."""
+        # Until the server has seen a connection close, it counts it together with a replacement. A
+        # replacement opened at once could exceed the server's limit and be rejected.
         while self._closed_at and self._closed_at[0] + CLOSE_LINGER <= now:
             self._closed_at.popleft()
         return len(self.idle) + len(self.busy) + self.opening + len(self._closed_at)
 
     def acquire_idle(self, now: Millis) -> HttpConnection | None:
-        """Return the connection that was used last, or None if there is no live idle one."""
+        """Return the most recently used live idle connection, or None."""
         while self.idle:
             conn = self.idle.pop()
             if conn.alive:
@@ -78,13 +79,13 @@
         return None
 
     def acquire_oldest_idle(self, now: Millis) -> HttpConnection | None:
-        """Return the idle connection that was unused for longest, or None."""
+        """Return the live connection that was idle for longest, or None."""
         if self.idle:
             self.idle.rotate(1)
         return self.acquire_idle(now)
 
     def put(self, conn: HttpConnection, now: Millis) -> None:
-        """Take a connection that can carry another exchange: for who waits, or for later."""
+        """Hand a usable connection to the first waiter, or keep it as idle."""
         if conn.used:
             self._backoff = 0.0
         self.busy.discard(conn)
@@ -101,42 +102,42 @@
         self.idle.append(conn)
 
     def drop(self, conn: HttpConnection, now: Millis, fault: ExchangeFault | None = None) -> None:
-        """Close a connection; its place is free again a little later."""
+        """Close a connection; unless the server closed it, it counts for ``CLOSE_LINGER`` more."""
         self.busy.discard(conn)
         conn.close(fault)
         if not conn.closed_by_peer:
             self._closed_at.append(now)
-        elif not conn.used and now - conn.opened_at < TURNED_AWAY_WITHIN:
-            # A server that is full closes each new connection at once. Opened again at once, they
-            # would keep it busy with nothing else.
-            self._back_off(now)
+        elif not conn.used and now - conn.opened_at < REJECTION_WINDOW:
+            # A server at its limit closes each new connection at once. Reopening without a pause
+            # would keep it busy with connection attempts.
+            self._increase_backoff(now)
 
-    def trim(self, now: Millis) -> None:
-        """Close idle connections that are over the share."""
+    def trim_to_share(self, now: Millis) -> None:
+        """Close idle connections beyond the share."""
         while self.idle and len(self.idle) + len(self.busy) + self.opening > self.share:
             self.drop(self.idle.popleft(), now)
         if self.share == 0:
-            # Who waits would wait for a connection that this entry may not open any more.
-            message = f"no share of {self.server.server_id} any more"
+            # The waiters would wait for connections that this entry may no longer open.
+            message = f"connections to {self.server.server_id} are no longer allowed"
             self._fail_waiting(HttpExchangeError(message, ExchangeFault.NOT_SENT))
 
-    def wants_more(self, now: Millis) -> bool:
-        """Return whether one more connection should be opened now."""
-        # One at a time: each costs the server some milliseconds of its few slots, and a burst of
-        # them at a server that has just come back would make it late for everyone.
+    def should_open(self, now: Millis) -> bool:
+        """Return whether another connection should be opened now."""
+        # Connections are opened one at a time. Each costs the server some milliseconds of its few
+        # slots, and a burst at a server that just restarted would delay all its requests.
         if self.opening or self.retired_at is not None or now < self._retry_at:
             return False
-        wanted = bool(self.waiting) or (not self.idle and (self.spare or not self.busy))
+        wanted = bool(self.waiting) or (not self.idle and (self.keeps_spare or not self.busy))
         return wanted and self.counted_connections(now) < self.share
 
-    def failed(self, error: HttpExchangeError, now: Millis) -> None:
-        """Take note that no connection could be opened, and tell everyone who waits."""
-        self._back_off(now)
+    def record_open_failure(self, error: HttpExchangeError, now: Millis) -> None:
+        """Record a failed connection attempt; without busy connections, all waiters fail too."""
+        self._increase_backoff(now)
         if not self.busy:
             self._fail_waiting(error)
 
-    def _back_off(self, now: Millis) -> None:
-        self._backoff = min(LONGEST_BACKOFF, max(FIRST_BACKOFF, 2 * self._backoff))
+    def _increase_backoff(self, now: Millis) -> None:
+        self._backoff = min(MAX_BACKOFF, max(MIN_BACKOFF, 2 * self._backoff))
         self._retry_at = now + self._backoff
 
     def _fail_waiting(self, error: HttpExchangeError) -> None:
@@ -146,33 +147,33 @@
             waiter.ready.set()
 
     def retire(self, now: Millis) -> None:
-        """Close what is idle and turn away who waits: another server has taken this id."""
+        """Close idle connections and fail the waiters, as another server has taken this ID."""
         self.share = 0
         self.close_all(now)
-        message = f"{self.server.server_id} has moved"
+        message = f"the address or data of {self.server.server_id} changed in the shard map"
         self._fail_waiting(HttpExchangeError(message, ExchangeFault.NOT_SENT))
 
-    def unreachable(self, now: Millis) -> bool:
-        """Return whether there is no connection, and none may be opened yet."""
+    def is_unreachable(self, now: Millis) -> bool:
+        """Return whether there is no connection and none may be opened before the backoff ends."""
         return now < self._retry_at and not self.idle and not self.busy
 
     def drop_silent(self, before: Millis, now: Millis) -> None:
-        """Close the busy connections on which nothing has moved since a point in time."""
+        """Close the busy connections without progress since a point in time."""
         for conn in [conn for conn in self.busy if conn.progress_at < before]:
-            # The way between the two ends may have lost track of one connection while new ones
-            # work. So it is the connection that goes; whether the server is at fault as well is
-            # for the core to judge by what it hears from others.
+            # A device in between may have lost the state of this connection while new ones work. So
+            # only the connection is closed; the core decides from other observations whether the
+            # server has failed.
             self.silent_count += 1
             self.drop(conn, now, ExchangeFault.SILENT)
 
     def drop_closed(self, now: Millis) -> None:
-        """Let go of idle connections that the server has closed."""
+        """Drop idle connections that the server has closed."""
         for conn in [conn for conn in self.idle if not conn.alive]:
             self.idle.remove(conn)
             self.drop(conn, now)
 
     def drop_surplus(self, before: Millis, now: Millis) -> None:
-        """Close idle connections but the last used one that were not used since a point in time."""
+        """Close idle connections unused since a point in time, except the last used one."""
         while len(self.idle) > 1 and self.idle[0].progress_at < before:
             self.drop(self.idle.popleft(), now)
 
