--- a/features/entry_snapshot.feature
+++ b/features/entry_snapshot.feature
@@ -1,8 +1,8 @@
 Feature: Every answer of an entry reflects one snapshot
 
   Scenario Outline: The upstream <changes> while queries run
-    # The nightly build publishes a new index version, or documents move to other shards, in the
-    # middle of a closing. Rows of two versions in one answer would be a state that never was.
+    # A new index version is published, or documents move to other shards, under load. An answer
+    # with rows of two versions would show a state that never existed.
     Given an upstream for the entry of 5 shards with 2 servers each
     And each server of the upstream takes 5 ms longer
     And the entry runs
@@ -13,26 +13,26 @@
     And the newest answer of the entry is of the newest snapshot of the upstream
 
     Examples:
-      | changes                                  |
-      | publishes a version                      |
-      | is partitioned anew                      |
-      | publishes a version and forgets the last |
+      | changes                                |
+      | publishes a version                    |
+      | is repartitioned                       |
+      | publishes a version and drops the last |
 
-  Scenario: The upstream is partitioned anew while shard requests wait for a server
-    # At the end of the month more queries come than the servers take at a time, and in that moment
-    # documents move to other shards. The queries that had begun are pinned to the old map; what of
-    # them still waits must be sent all the same, or they end at their deadline with nothing.
+  Scenario: The upstream is repartitioned while shard requests wait for a server
+    # More queries arrive than the servers can run at once, and documents move to other shards.
+    # Running queries are pinned to the old map. Their waiting shard requests must still be sent;
+    # otherwise the queries reach their deadline without an answer.
     Given an upstream for the entry of 2 shards with 1 server each
-    And the entry holds 1 connections to each server when it needs them
+    And the entry may hold 1 connections to each server
     And each server of the upstream takes 50 ms longer
     And the entry runs
     And the entry was asked 1 times
-    When the upstream is partitioned anew while 8 queries of the entry are under way
+    When the upstream is repartitioned while 8 queries of the entry are running
     Then the entry's answers are right and lack nothing
 
   Scenario: One server does not hold the new version yet
-    # Versions reach the servers one after the other. A server that is behind says so, and the
-    # shard is asked of the other one instead of being read at the old version.
+    # Versions reach the servers one after the other. A server without the new version refuses, and
+    # the shard is queried at the other server instead of at the old version.
     Given an upstream for the entry of 4 shards with 2 servers each
     And the entry runs
     And the upstream publishes a version that the first server of each shard lacks
@@ -40,12 +40,12 @@
     And the entry is asked 10 times
     Then the entry's answers are right and lack nothing
 
-  Scenario: A server that lags serves an older shard map than was seen before
-    # The map is fetched from whichever server answers. One that lags must not take new queries
-    # back to a version that the others may have dropped.
+  Scenario: A lagging server serves an older shard map than the known one
+    # The map is fetched from whichever server answers. A lagging server must not return new queries
+    # to a version that the others may have dropped.
     Given an upstream for the entry of 2 shards with 2 servers each
     And the entry runs
     And the upstream publishes a version
     When the entry has adopted the newest snapshot of the upstream
-    And the upstream shows its first shard map again and the entry fetches it
+    And the upstream serves its first shard map again and the entry fetches it
     Then the entry's map is of version 2
--- a/features/steps/entry_connections_steps.py
+++ b/features/steps/entry_connections_steps.py
@@ -20,10 +20,10 @@
     here.call(here.start_upstream, shards, servers)
 
 
-@given("the upstream's new connections cost {span:d} ms")
-def step_connect_cost(context, span):
+@given("the upstream's new connections cost {duration_ms:d} ms")
+def step_connect_cost(context, duration_ms):
     upstream = world(context).upstream
-    upstream.shape = upstream.shape._replace(connect_ms=span)
+    upstream.shape = upstream.shape._replace(connect_ms=duration_ms)
 
 
 @given("{count:d} entries run")
@@ -39,7 +39,7 @@
     here.call(here.start_load, 6)
 
 
-@when("entry {number:d} ends and another entry takes its place {count:d} times")
+@when("entry {number:d} is replaced by another entry {count:d} times")
 def step_replace(context, number, count):
     here = world(context)
 
@@ -74,7 +74,7 @@
         assert server.counts.most_connections >= count, server.counts.most_connections
 
 
-@given("the entry holds {count:d} connections to each server when it needs them")
+@given("the entry may hold {count:d} connections to each server")
 def step_share(context, count):
     world(context).settings["connections_per_server"] = count
 
@@ -107,7 +107,7 @@
     context.entry_replies = [here.call(here.query) for _ in range(count)]
 
 
-@given("the entry's probes of health rest")
+@given("the entry sends no health probes")
 def step_no_probes(context):
     world(context).settings |= {"health_poll_ms": 60_000, "map_poll_ms": 60_000}
 
@@ -145,7 +145,7 @@
 
 
 class FakeConnection:
-    """Stands for an open connection where only the count matters."""
+    """A fake open connection for tests that only count connections."""
 
     alive = True
     usable = True
@@ -158,13 +158,13 @@
         self.usable = False
 
 
-@when('a server of share {share:d} sees the connection events "{events}"')
+@when('the connection events "{events}" occur for a server with a share of {share:d}')
 def step_events(context, share, events):
     server = Server("n1", "127.0.0.1", 1, "austin-hall", 2, 30)
     conns = ServerConnections("navigator", server, share)
     now = 0.0
-    most = 0
-    taken = []
+    max_counted = 0
+    acquired = []
     for event in events.split():
         match event:
             case "start":
@@ -178,13 +178,13 @@
                 conns.opening = False
                 conns.record_open_failure(HttpExchangeError("refused", ExchangeFault.NOT_SENT), now)
             case "take":
-                taken.append(conns.acquire_idle(now))
+                acquired.append(conns.acquire_idle(now))
             case "back":
-                conns.put(taken.pop(), now)
+                conns.put(acquired.pop(), now)
             case "break":
-                conns.drop(taken.pop(), now)
+                conns.drop(acquired.pop(), now)
             case "lose" | "refuse":
-                conn = taken.pop()
+                conn = acquired.pop()
                 conn.closed_by_peer = True
                 conn.used = event == "lose"
                 conns.drop(conn, now)
@@ -194,15 +194,17 @@
                 conns.share = share
                 conns.trim_to_share(now)
                 now += 1000
-        most = max(most, conns.counted_connections(now) if conns.share == share else 0)
-    context.pool_counts = (conns, now, most)
+        max_counted = max(
+            max_counted, conns.counted_connections(now) if conns.share == share else 0
+        )
+    context.pool_counts = (conns, now, max_counted)
 
 
-@then("the connections held at the end are {held:d} and never were over {share:d}")
+@then("{held:d} connections are counted at the end and never more than {share:d}")
 def step_held(context, held, share):
-    conns, now, most = context.pool_counts
-    assert conns.counted_connections(now) == held, conns.held(now)
-    assert most <= share, most
+    conns, now, max_counted = context.pool_counts
+    assert conns.counted_connections(now) == held, conns.counted_connections(now)
+    assert max_counted <= share, max_counted
 
 
 @then("a further connection is {further}")
@@ -213,5 +215,6 @@
 
 @given("the entry's rule allows no hedges")
 def step_no_hedges(context):
-    # The loser of a hedge is cancelled by closing its connection, which is then opened anew.
+    # The losing attempt of a hedge is cancelled by closing its connection; a new one is then
+    # opened.
     world(context).rule["hedge"] = 0
--- a/features/steps/entry_snapshot_steps.py
+++ b/features/steps/entry_snapshot_steps.py
@@ -11,9 +11,9 @@
     match changes:
         case "publishes a version":
             upstream.publish_version()
-        case "is partitioned anew":
+        case "is repartitioned":
             upstream.repartition()
-        case "publishes a version and forgets the last":
+        case "publishes a version and drops the last":
             last = upstream.newest.snapshot
             upstream.publish_version()
             upstream.forget(last)
@@ -70,7 +70,7 @@
     return newest is not None and newest.snapshot == here.upstream.newest.snapshot
 
 
-@when("the upstream is partitioned anew while {count:d} queries of the entry are under way")
+@when("the upstream is repartitioned while {count:d} queries of the entry are running")
 def step_repartition_meanwhile(context, count):
     here = world(context)
     received = sum(server.counts.received for server in here.upstream.servers)
@@ -108,7 +108,7 @@
     here.call(here.until, lambda: _adopted(here))
 
 
-@when("the upstream shows its first shard map again and the entry fetches it")
+@when("the upstream serves its first shard map again and the entry fetches it")
 def step_old_map(context):
     here = world(context)
     upstream = here.upstream
--- a/features/steps/idle_connections_steps.py
+++ b/features/steps/idle_connections_steps.py
@@ -8,25 +8,25 @@
 
 UPSTREAM = "rare"
 SERVER_ID = "i-1"
-UNUSED_S = 0.7
-PATIENCE_S = 30
+IDLE_TIMEOUT_S = 0.7
+TIMEOUT_S = 30
 
 
-class Idling:
-    """A server that answers nothing and closes each connection after a time."""
+class IdleClosingServer:
+    """A server that never answers and closes each connection after ``IDLE_TIMEOUT_S``."""
 
     def __init__(self):
         self.closed = 0
 
     async def serve(self, stream):
-        await trio.sleep(UNUSED_S)
+        await trio.sleep(IDLE_TIMEOUT_S)
         await stream.aclose()
         self.closed += 1
 
 
-@given("a pool with a connection to a server that closes what was unused for 700 ms")
+@given("a pool with a connection to a server that closes connections unused for 700 ms")
 def step_pool(context):
-    context.server = Idling()
+    context.server = IdleClosingServer()
     context.steps = []
 
 
@@ -39,7 +39,7 @@
     context.steps.append(closed)
 
 
-@then("the next request gets a connection without a fault")
+@then("the next request gets a connection without an error")
 def step_taken(context):
     async def taken(pool):
         conn = await pool.acquire(SERVER_ID)
@@ -49,7 +49,7 @@
     context.steps.append(taken)
 
 
-@then("the pool has a live one again by itself when the server has closed that, too")
+@then("the pool opens another one by itself after the server has closed that one too")
 def step_again(context):
     async def again(pool):
         known = context.server.closed
@@ -60,11 +60,11 @@
             await trio.sleep(0.01)
 
     context.steps.append(again)
-    trio.run(play, context)
+    trio.run(run_steps, context)
 
 
-async def play(context):
-    with trio.fail_after(PATIENCE_S):
+async def run_steps(context):
+    with trio.fail_after(TIMEOUT_S):
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(trio.serve_tcp, context.server.serve, 0)
             port = listeners[0].socket.getsockname()[1]
--- a/features/steps/owner_shares_steps.py
+++ b/features/steps/owner_shares_steps.py
@@ -54,11 +54,11 @@
     context.lost = lost
 
 
-@then("its servers keep their other owner for {span:d} ms, and have 2 owners in the end")
-def step_change_hands(context, span):
+@then("its servers keep their other owner for {duration_ms:d} ms, and have 2 owners in the end")
+def step_change_hands(context, duration_ms):
     model = context.owner_model
     assert context.owned and context.kept
-    end = model.now + span
+    end = model.now + duration_ms
     while model.now < end:
         model.round(200.0)
         for number, holders in context.owned.items():
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -29,10 +29,10 @@
     }
     status, answer = await here.controls.change("PUT", "/v1/settings", body)
     assert status == 200, answer
-    await here.until(lambda: all(_goes_by(entry, owners) for entry in here.entries))
+    await here.until(lambda: all(_uses_owners(entry, owners) for entry in here.entries))
 
 
-def _goes_by(entry, owners):
+def _uses_owners(entry, owners):
     client = entry._control.client
     if client.view.settings.owners_per_server != owners:
         return False
@@ -44,14 +44,14 @@
 
 
 @given(
-    "{controls:d} control hosts and {count:d} entries with links that go by {owners:d} owners "
+    "{controls:d} control hosts and {count:d} entries with links and {owners:d} owners "
     "for each server"
 )
 def step_tier(context, controls, count, owners):
     here = world(context)
-    # The whole tier runs in one loop. On a busy machine it would lose a shorter lease.
+    # The whole tier runs in one event loop, and a shorter lease would expire on a busy machine.
     here.settings |= {"links": True, "lease_ms": 5000, "health_poll_ms": 400, "map_poll_ms": 200}
-    # In one zone, so that entries ask near servers that others of them own.
+    # All entries are in one zone, so that they query servers there that other entries own.
     here.settings["zone"] = ZONES[0]
     here.call(here.start_controls, controls)
     here.call(here.change_rules, RULES)
@@ -70,7 +70,7 @@
     ]
 
 
-@then("each of them was answered whole and right")
+@then("each of them got a complete and correct answer")
 def step_whole(context):
     assert context.answers
     for status, answer in context.answers:
@@ -78,7 +78,9 @@
         assert world(context).check(answer) is None, answer
 
 
-@then("each server of the upstream has connections of {owners:d} entries and none too many")
+@then(
+    "each server of the upstream has connections of {owners:d} entries and no more than its limit"
+)
 def step_connections(context, owners):
     here = world(context)
     for server in here.upstream.servers:
@@ -89,7 +91,7 @@
     step_limit_kept(context)
 
 
-@then("some shard requests went through owners")
+@then("some shard requests were sent through owners")
 def step_through(context):
     assert sum(entry.owners.traffic.messages for entry in world(context).entries) > 0
 
@@ -105,12 +107,14 @@
         return dict(zip((entry.cfg.name for entry in here.entries), links, strict=True))
 
     async def both_ends_shown():
-        # A link is open at the end that dialled it a moment before the other one knows.
+        # The dialling end sees a link as open a moment before the accepting end.
         while True:
             shown = await links_shown()
             dialled = {(name, to) for name, links in shown.items() for to in links["to_owners"]}
-            taken = {(who, name) for name, links in shown.items() for who in links["from_entries"]}
-            if dialled and dialled <= taken:
+            accepted = {
+                (who, name) for name, links in shown.items() for who in links["from_entries"]
+            }
+            if dialled and dialled <= accepted:
                 return
             await trio.sleep(0.02)
 
@@ -125,14 +129,14 @@
         here.call(here.nap, 0.3)
 
 
-@given("callers use the other entries than the last without pause")
+@given("callers use all entries except the last without a pause")
 def step_others(context):
     here = world(context)
     here.call(partial(here.start_load, callers=len(here.entries) - 1))
 
 
-@then("the callers of entries with owners go on to get only right answers")
-def step_go_on(context):
+@then("the callers of entries with owners still get only correct answers")
+def step_still_correct(context):
     here = world(context)
     enough = here.load_counts["right"] + 50
     here.call(here.until, lambda: here.load_counts["right"] > enough)
@@ -145,15 +149,15 @@
     here = world(context)
     lost = here.entries[-1].cfg.name
     here.call(here.end_entry, len(here.entries) - 1)
-    here.call(here.until, lambda: all(_has_lost(entry, lost) for entry in here.entries[:-1]))
+    here.call(here.until, lambda: all(_has_dropped(entry, lost) for entry in here.entries[:-1]))
 
 
-def _has_lost(entry, name):
+def _has_dropped(entry, name):
     client = entry._control.client
-    return name not in client.view.roster and _goes_by(entry, 2)
+    return name not in client.view.roster and _uses_owners(entry, 2)
 
 
-@when("the last entry stops as planned")
+@when("the last entry performs a planned stop")
 def step_stop(context):
     here = world(context)
     last = here.entries[-1]
@@ -169,8 +173,8 @@
     context.left_running = last.running_for_others
 
 
-@then("it cut off no request of another entry")
-def step_cut_off(context):
+@then("it aborted no request of another entry")
+def step_none_aborted(context):
     assert context.left_running == 0
 
 
@@ -185,13 +189,13 @@
 
     here.call(use_links)
 
-    async def never(message):
+    async def send_nothing(message):
         await trio.sleep_forever()
 
     async def silence():
-        assert last.links, "no link was open"
+        assert last.links, "the last entry has no open link"
         for link in last.links:
-            link.send = never
+            link.send = send_nothing
 
     here.call(silence)
     context.answers = [
@@ -200,7 +204,7 @@
     ]
 
 
-@when('the booking "{booking}" has reached the upstream through an owner, which then is lost')
+@when('the booking "{booking}" has reached the upstream through an owner that is then lost')
 def step_owner_lost(context, booking):
     here = world(context)
 
@@ -208,9 +212,9 @@
         replies = []
 
         async def book():
-            replies.append(await _book(here, front, booking))
+            replies.append(await _book(here, requester, booking))
 
-        front = _front_of_all(here)
+        requester = _entry_without_servers(here)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(book)
             await here.until(lambda: here.upstream.runs)
@@ -225,18 +229,18 @@
 @when("{count:d} shard requests are sent through the owner of a server at once")
 def step_flood(context, count):
     here = world(context)
-    front = here.entries[_front_of_all(here)]
+    requester = here.entries[_entry_without_servers(here)]
     server = here.upstream.servers[0]
     request = Request("flood", "tests", "route", "navigator", b"{}")
     context.flood = []
 
     async def one(number):
-        snapshot = front.maps[0].newest.snapshot
-        shard = front.maps[0].newest.shards[0].name
+        snapshot = requester.maps[0].newest.snapshot
+        shard = requester.maps[0].newest.shards[0].name
         deadline = trio.current_time() * SECOND + 60_000.0
-        place = (f"flood-{number}", "navigator", server.server_id, shard, snapshot)
+        target = (f"flood-{number}", "navigator", server.server_id, shard, snapshot)
         try:
-            await front.owners.exchange(SendShard(number, *place, deadline, request), deadline)
+            await requester.owners.exchange(SendShard(number, *target, deadline, request), deadline)
         except OwnerCallError as exc:
             context.flood.append((number, exc.fault))
 
@@ -245,39 +249,39 @@
             for number in range(count):
                 nursery.start_soon(one, number)
             await here.until(lambda: context.flood and server.counts.received)
-            # All went in one message, so that each that was to be refused has been by now.
-            context.taken = sum(entry.running_for_others for entry in here.entries)
+            # All calls were sent in one message, so all refusals have been made by now.
+            context.accepted = sum(entry.running_for_others for entry in here.entries)
             nursery.cancel_scope.cancel()
 
     here.call(flood)
 
 
 @then(
-    'the owner takes {taken:d} of them and says "{fault}" to {refused:d}, of which no byte reached '
-    "the server"
+    'the owner accepts {accepted:d} of them and refuses {refused:d} with "{fault}",'
+    " of which no byte reaches the server"
 )
-def step_flooded(context, taken, fault, refused):
-    assert [said for _, said in context.flood] == [fault] * refused, context.flood
-    assert context.taken == taken
-    assert world(context).upstream.servers[0].counts.received <= taken
+def step_flood_refused(context, accepted, fault, refused):
+    assert [got for _, got in context.flood] == [fault] * refused, context.flood
+    assert context.accepted == accepted
+    assert world(context).upstream.servers[0].counts.received <= accepted
 
 
-def _front_of_all(here):
-    """Return an entry that owns no server."""
+def _entry_without_servers(here):
+    """Return the index of an entry that owns no server."""
     servers = [server.server_id for server in here.upstream.servers]
     for number, entry in enumerate(here.entries):
         if not any(entry.pool.share_of(server_id) for server_id in servers):
             return number
-    raise AssertionError("each entry owns a server")
+    raise AssertionError("expected an entry that owns no server; each owns one")
 
 
-@when("a stranger without the secret opens a link to an entry")
-def step_stranger(context):
+@when("a peer without the secret opens a link to an entry")
+def step_peer_without_secret(context):
     here = world(context)
 
-    async def knock():
+    async def dial():
         codec = Codec(*OWNER_MESSAGES)
-        me = Peer("stranger", ENTRY_ROLE)
+        me = Peer("intruder", ENTRY_ROLE)
         try:
             port = here.entries[1].link_port
             async with open_link(LOOPBACK, port, codec, b"a guess", me):
@@ -285,11 +289,11 @@
         except LinkClosedError:
             return True
 
-    context.refused = here.call(knock)
+    context.refused = here.call(dial)
 
 
-@then("the stranger is refused")
+@then("the peer without the secret is refused")
 def step_refused(context):
     assert context.refused
     links = world(context).entries[1].owner_server.links
-    assert "stranger" not in {link.peer.name for link in links}
+    assert "intruder" not in {link.peer.name for link in links}
--- a/features/steps/query_steps.py
+++ b/features/steps/query_steps.py
@@ -34,14 +34,22 @@
     start_query(context, make_map(documents=[10, 10, 10, 270]), Serve(retries=0, hedge=0))
 
 
-@given("a core query over {shards:d} shards that wants {wanted:g} and gives stragglers {span:d} ms")
-def step_query_early(context, shards, wanted, span):
-    start_query(context, make_map(shards), Serve(coverage=wanted, straggler_ms=span, hedge=0))
+@given(
+    "a core query over {shards:d} shards with a target coverage of {target:g}"
+    " and {duration_ms:d} ms for stragglers"
+)
+def step_query_early(context, shards, target, duration_ms):
+    start_query(
+        context, make_map(shards), Serve(coverage=target, straggler_ms=duration_ms, hedge=0)
+    )
 
 
-@given("a core query over {shards:d} shards that wants {wanted:g} and at least {least:g}")
-def step_query_least(context, shards, wanted, least):
-    start_query(context, make_map(shards), Serve(coverage=wanted, min_coverage=least, hedge=0))
+@given(
+    "a core query over {shards:d} shards with a target coverage of {target:g}"
+    " and a minimum of {minimum:g}"
+)
+def step_query_minimum(context, shards, target, minimum):
+    start_query(context, make_map(shards), Serve(coverage=target, min_coverage=minimum, hedge=0))
 
 
 @given("a core with the map of version {version:d}")
@@ -97,14 +105,14 @@
     context.core.fail(next(iter(context.core.out)), AttemptFault.VERSION_GONE)
 
 
-@when("the core learns of the map of version {version:d}")
-def step_learns_map(context, version):
+@when("the core receives the map of version {version:d}")
+def step_receives_map(context, version):
     context.core.feed(ShardMapFetched(make_map(version=version)))
 
 
-@when("{span:d} ms pass in the core")
-def step_core_time(context, span):
-    context.core.advance(float(span))
+@when("{duration_ms:d} ms pass in the core")
+def step_core_time(context, duration_ms):
+    context.core.advance(float(duration_ms))
 
 
 @when("all attempts of the core query end as {fault}")
@@ -115,18 +123,18 @@
             context.core.advance(1001.0)
 
 
-@when("the caller of the core query leaves")
-def step_caller_leaves(context):
+@when("the caller of the core query disconnects")
+def step_caller_disconnects(context):
     context.core.feed(CallerGone(context.core_query))
 
 
-@then("the core asks for a fresh shard map")
-def step_asks_map(context):
+@then("the core requests a new shard map")
+def step_requests_map(context):
     assert FetchShardMap("ix") in context.core.effects
 
 
-@then("the core query has {count:d} attempts out and all name version {version:d}")
-def step_out_version(context, count, version):
+@then("the core query has {count:d} attempts in flight and all name version {version:d}")
+def step_in_flight_version(context, count, version):
     sends = list(context.core.out.values())
     assert len(sends) == count, sends
     assert {send.snapshot.version for send in sends} == {version}
@@ -169,8 +177,8 @@
     assert context.core_query not in context.core.finished
 
 
-@then("the core has no attempts out")
-def step_none_out(context):
+@then("the core has no attempts in flight")
+def step_none_in_flight(context):
     assert not context.core.out
     assert context.core.core.dump(context.core.now)["attempts_out"] == 0
 
@@ -184,7 +192,7 @@
 
 
 class NaiveGather:
-    """Coverage and rows by the plainest reading of the brief."""
+    """A naive implementation of coverage and merge."""
 
     def __init__(self, shard_map):
         self.shard_map = shard_map
@@ -217,7 +225,10 @@
 )
 
 
-@then("merge and coverage agree with a naive version for any order, doubling and loss of events")
+@then(
+    "merge and coverage agree with a naive implementation"
+    " for any order, duplication and loss of events"
+)
 def step_merge_differential(context):
     weights = st.lists(st.integers(1, 50), min_size=1, max_size=6)
 
@@ -228,11 +239,11 @@
         core = CoreHarness(shard_map, Serve(retries=retries), seed=seed)
         query = core.arrive()
         naive = NaiveGather(shard_map)
-        past = []
+        delivered = []
         for action, pick in actions:
             core.advance(float(pick % 7))
-            if action == "twice" and past:
-                core.feed(past[pick % len(past)])
+            if action == "twice" and delivered:
+                core.feed(delivered[pick % len(delivered)])
                 continue
             if not core.out or query in core.finished:
                 continue
@@ -242,7 +253,7 @@
             if action in ("answer", "other"):
                 snapshot = send.snapshot if action == "answer" else Snapshot(9, 9)
                 answer = ShardAnswer(send.request_id, send.shard, snapshot, rows, None)
-                past.append(ShardAnswered(attempt, answer))
+                delivered.append(ShardAnswered(attempt, answer))
                 naive.answer(send, snapshot, rows)
                 core.answer(attempt, rows=rows, snapshot=snapshot)
             elif action != "twice":
@@ -289,13 +300,13 @@
     context.core.arrive()
 
 
-@then('that query asks server "{server_id}" for shard "{name}"')
-def step_asks_new(context, server_id, name):
+@then('that query is sent to server "{server_id}" for shard "{name}"')
+def step_sent_to_server(context, server_id, name):
     sent = context.core.sent[context.sent_before :]
     assert [send.server_id for send in sent if send.shard == name] == [server_id], sent
 
 
-@then("that query is planned over the weights that were known")
+@then("that query uses the weights of the known map")
 def step_known_weights(context):
     run = context.core.core._state.runs[context.core.next_query]
     assert run.shard_map == make_map()
--- a/features/steps/upstream_faults_steps.py
+++ b/features/steps/upstream_faults_steps.py
@@ -8,68 +8,68 @@
 from features.entry_world import LOOPBACK, world
 
 
-@given("the entry's rule wants a coverage of {coverage:g}")
+@given("the entry's rule has a target coverage of {coverage:g}")
 def step_rule_coverage(context, coverage):
     world(context).rule["coverage"] = coverage
 
 
-@given('the upstream\'s server "{server_id}" takes {span:d} ms longer')
-def step_straggle(context, server_id, span):
-    world(context).upstream.server(server_id).faults.straggle_ms = span
+@given('the upstream\'s server "{server_id}" takes {duration_ms:d} ms longer')
+def step_straggle(context, server_id, duration_ms):
+    world(context).upstream.server(server_id).faults.straggle_ms = duration_ms
 
 
-@given("each server of the upstream takes {span:d} ms longer")
-def step_all_straggle(context, span):
+@given("each server of the upstream takes {duration_ms:d} ms longer")
+def step_all_straggle(context, duration_ms):
     for server in world(context).upstream.servers:
-        server.faults.straggle_ms = span
+        server.faults.straggle_ms = duration_ms
 
 
-@given("the upstream was partitioned anew into shards of unequal weight")
+@given("the upstream was repartitioned into shards of unequal weight")
 def step_repartitioned(context):
     world(context).upstream.repartition()
 
 
-@given("the first server of each shard of the upstream {does}")
-def step_first_servers(context, does):
+@given("the first server of each shard of the upstream {behaviour}")
+def step_first_servers(context, behaviour):
     upstream = world(context).upstream
     for shard in upstream.newest.servers:
-        _set_fault(upstream.holders(shard)[0].faults, does)
+        _set_fault(upstream.holders(shard)[0].faults, behaviour)
 
 
-@given("each server of the upstream says that it is draining")
+@given("each server of the upstream reports that it is draining")
 def step_all_draining(context):
     for server in world(context).upstream.servers:
         server.faults.health_state = "draining"
 
 
-def _set_fault(faults, does):
-    match does:
+def _set_fault(faults, behaviour):
+    match behaviour:
         case "sheds":
             faults.shed_ms = 1000
         case "drains":
             faults.draining = True
         case "loses its requests":
             faults.lose = True
-        case "says that it is draining":
+        case "reports that it is draining":
             faults.health_state = "draining"
-        case "says that it is starting":
+        case "reports that it is starting":
             faults.health_state = "starting"
-        case "says nothing of its health":
+        case "does not answer health probes":
             faults.health_silent = True
         case "reports no load":
             faults.report_load = (0, 0)
         case "reports a huge load":
             faults.report_load = (1_000_000, 1_000_000)
-        case "says that it is fine and fails":
+        case "reports good health and fails":
             faults.lose = True
             faults.health_state = "ready"
             faults.report_load = (0, 0)
         case _:
-            raise AssertionError(does)
+            raise AssertionError(behaviour)
 
 
-@given("the entry has heard of the health of each server")
-def step_health_heard(context):
+@given("the entry has received the health of each server")
+def step_health_received(context):
     here = world(context)
     here.call(here.nap, 3 * here.entries[0].cfg.upstreams[0].health_poll_ms / 1000)
 
@@ -137,7 +137,7 @@
     context.entry_replies = here.call(run)
 
 
-@when('all servers of shard "{shard}" of the upstream are gone for good')
+@when('all servers of shard "{shard}" of the upstream are lost for good')
 def step_shard_gone(context, shard):
     here = world(context)
 
@@ -177,8 +177,8 @@
     assert world(context).upstream.server(server_id).counts.crashes == count
 
 
-@when("a caller of the entry leaves once its query has reached each server of the upstream")
-def step_caller_leaves(context):
+@when("a caller of the entry disconnects once its query has reached each server of the upstream")
+def step_caller_disconnects(context):
     here = world(context)
 
     async def leave():
@@ -214,7 +214,7 @@
     here.call(here.until, lambda: entry.core.running == 0 and entry.attempts.running == 0)
 
 
-@when("the first server of each shard of the upstream restarts and is cold for long")
+@when("the first server of each shard of the upstream restarts and stays cold")
 def step_restart_cold(context):
     here = world(context)
     upstream = here.upstream
@@ -250,7 +250,7 @@
     context.entry_replies = here.call(ask)
 
 
-@then("the cold servers of the upstream got less than half as much work as the others")
+@then("the cold servers of the upstream received less than half as many requests as the others")
 def step_cold_spared(context):
     got = {True: 0, False: 0}
     for server in world(context).upstream.servers:
--- a/features/steps/upstream_garbage_steps.py
+++ b/features/steps/upstream_garbage_steps.py
@@ -23,9 +23,9 @@
     here.call(here.start_upstream, shards, servers)
 
 
-@given("the entry's rule gives {span:d} ms to an answer")
-def step_rule_deadline(context, span):
-    world(context).rule["deadline_ms"] = span
+@given("the entry's rule has a deadline of {duration_ms:d} ms")
+def step_rule_deadline(context, duration_ms):
+    world(context).rule["deadline_ms"] = duration_ms
 
 
 @given("the entry runs")
@@ -80,17 +80,17 @@
         assert answer["missing"] == [] and answer["coverage"] == 1, answer
 
 
-@then('an exchange with that server of the upstream has after 2 s come to "{fault}"')
-def step_exchange(context, fault):
+@then('after 2 s an exchange with that server of the upstream has the outcome "{outcome}"')
+def step_exchange(context, outcome):
     here = world(context)
     events = here.call(_one_attempt, here)
-    # A server that drips bytes makes progress for ever; only the query's deadline ends that.
-    expected = [] if fault == "nothing yet" else [AttemptFailed(1, AttemptFault(fault))]
+    # A server that sends a byte now and then makes progress; only the query's deadline ends that.
+    expected = [] if outcome == "none yet" else [AttemptFailed(1, AttemptFault(outcome))]
     assert events == expected, events
 
 
 async def _one_attempt(here):
-    """Send one shard request by an attempt runner of its own and return what it reports."""
+    """Send one shard request with a separate attempt runner and return its events."""
     events = []
     ended = trio.Event()
 
@@ -127,8 +127,8 @@
     return events
 
 
-def _change(raw, mistake):
-    match mistake:
+def _corrupt(raw, error):
+    match error:
         case "no version":
             del raw["version"]
         case "a negative epoch":
@@ -150,7 +150,7 @@
         case "no shard":
             raw["shards"] = []
         case _:
-            raise AssertionError(mistake)
+            raise AssertionError(error)
 
 
 def _valid_map():
@@ -177,14 +177,14 @@
     }
 
 
-@when("the upstream's shard map is read with {mistake}")
-def step_read_map(context, mistake):
+@when("the upstream's shard map is read with {error}")
+def step_read_map(context, error):
     raw = _valid_map()
     parse_shard_map(orjson.dumps(raw), "navigator")
-    if mistake == "broken JSON":
+    if error == "broken JSON":
         body = orjson.dumps(raw)[:-3]
     else:
-        _change(raw, mistake)
+        _corrupt(raw, error)
         body = orjson.dumps(raw)
     try:
         parse_shard_map(body, "navigator")
--- a/features/upstream_faults.feature
+++ b/features/upstream_faults.feature
@@ -1,10 +1,10 @@
 Feature: Upstreams that fail while queries run
 
-  Scenario: A straggler is left behind once the rule's coverage is reached
-    # One server of many is slow for a while. The straggler would set the latency of the whole
-    # query; the rule is content with nearly all, and the caller sees which shard is missing.
+  Scenario: A straggler is omitted once the rule's target coverage is reached
+    # One server of many is slow for a while and would determine the latency of the whole query. The
+    # target coverage is below 1, and the answer names the missing shard.
     Given an upstream for the entry of 20 shards with 1 server each
-    And the entry's rule wants a coverage of 0.95
+    And the entry's rule has a target coverage of 0.95
     And the entry runs
     And the upstream's server "navigator-07-0" takes 20000 ms longer
     When the entry is asked 3 times
@@ -12,8 +12,8 @@
     And the upstream's server "navigator-07-0" saw its requests cancelled
 
   Scenario: A server crashes while queries run on it
-    # A process of the upstream dies with requests under way; all its connections break at once.
-    # Its shard is on another server, so callers notice nothing but some milliseconds.
+    # A process of the upstream crashes while it runs requests, and all its connections break at
+    # once. Its shard has another server, so callers only see a few milliseconds of delay.
     Given an upstream for the entry of 4 shards with 2 servers each
     And each server of the upstream takes 100 ms longer
     And the entry runs
@@ -21,69 +21,69 @@
     Then the entry's answers are right and lack nothing
     And the upstream's server "navigator-02-1" crashed 1 time
 
-  Scenario: All servers of a shard are gone
-    # Both replicas of one shard are lost at a time. The rest is answered, and the coverage is told
-    # by what the lost shard weighs, not by the count of shards.
+  Scenario: All servers of a shard are lost
+    # Both replicas of one shard are lost at once. The other shards are answered, and the coverage
+    # reflects the weight of the lost shard, not the number of shards.
     Given an upstream for the entry of 4 shards with 2 servers each
-    And the upstream was partitioned anew into shards of unequal weight
+    And the upstream was repartitioned into shards of unequal weight
     And the entry runs
-    When all servers of shard "s01b" of the upstream are gone for good
+    When all servers of shard "s01b" of the upstream are lost for good
     And the entry is asked 3 times
     Then the entry's answers are right and lack only the shards "s01a, s01b"
     And the entry's answers have a coverage of 0.75
 
-  Scenario Outline: One server of each shard <does>
-    # Overloaded or leaving servers refuse, others lose what they are sent. With a second server
-    # for every shard nothing need be missing.
+  Scenario Outline: One server of each shard <behaviour>
+    # Overloaded or leaving servers refuse requests, others report wrong states. Every shard has a
+    # second server, so no shard is missing.
     Given an upstream for the entry of 4 shards with 2 servers each
     And the entry runs
-    And the first server of each shard of the upstream <does>
+    And the first server of each shard of the upstream <behaviour>
     When the entry is asked 10 times
     Then the entry's answers are right and lack nothing
 
     Examples:
-      | does                          |
+      | behaviour                     |
       | sheds                         |
       | drains                        |
-      | says that it is draining      |
-      | says that it is starting      |
-      | says nothing of its health    |
+      | reports that it is draining   |
+      | reports that it is starting   |
+      | does not answer health probes |
       | reports no load               |
       | reports a huge load           |
 
   Scenario: One server of each shard loses its requests, and each query is new
-    # A fault in front of half of the servers cuts each connection off once a request is on it. The
-    # servers run on, with the same boot id, so that it is no request that crashes them; and for
-    # every shard there is another server. Queries that nobody has sent before are answered too.
+    # A fault in front of half of the servers breaks each connection once a request is on it. The
+    # servers keep running with the same boot ID, so no request has crashed them. Every shard has
+    # another server, and queries that were never sent before must be answered too.
     Given an upstream for the entry of 4 shards with 2 servers each
     And the entry runs
     And the first server of each shard of the upstream loses its requests
     When the entry is asked 30 different queries
     Then the entry's answers are right and lack nothing
 
-  Scenario: One server of each shard says that it is fine and fails, and each query is new
-    # The same, while the health endpoint and the reported load of the failing servers look better
-    # than those of the good ones.
+  Scenario: One server of each shard reports good health and fails, and each query is new
+    # As above, but the health and the load that the failing servers report look better than those
+    # of the healthy ones.
     Given an upstream for the entry of 4 shards with 2 servers each
     And the entry runs
-    And the first server of each shard of the upstream says that it is fine and fails
+    And the first server of each shard of the upstream reports good health and fails
     When the entry is asked 30 different queries
     Then the entry's answers are right and lack nothing
 
-  Scenario: Every server says that it is draining although none is
-    # A fault in the deploy of a health endpoint shows all servers as leaving. Believed, it would
-    # leave no server for any shard.
+  Scenario: Every server reports that it is draining although none is
+    # A faulty deployment of the health endpoint reports all servers as draining. If this were
+    # believed, no shard would have a server.
     Given an upstream for the entry of 4 shards with 2 servers each
     And the entry runs
-    And each server of the upstream says that it is draining
-    And the entry has heard of the health of each server
+    And each server of the upstream reports that it is draining
+    And the entry has received the health of each server
     When the entry is asked 5 times
     Then the entry's answers are right and lack nothing
 
   Scenario Outline: The open connections to one server of each shard go silent, <side> side
-    # Something between the two ends has lost track of the connections: nothing comes any more, and
-    # neither end is told, while new connections work. Kept, each would swallow one query after
-    # the other.
+    # A device between the two ends has lost the state of the connections: no data arrives, and
+    # neither end gets an error, while new connections work. If they were kept, queries would be
+    # lost on them again and again.
     Given an upstream for the entry of 3 shards with 2 servers each
     And the entry runs
     And the entry was asked 10 times
@@ -98,9 +98,9 @@
       | write |
 
   Scenario: Idle connections go silent and no query is sent
-    # A quiet night, and a table of connections somewhere on the way is cleared. The first query of
-    # the morning would run into every silent connection at once; the probes of health go over the
-    # same connections and find them before.
+    # A device on the path drops its connection table while there is no traffic. The next query
+    # would hit every silent connection at once; health probes use the same connections and find
+    # them first.
     Given an upstream for the entry of 3 shards with 2 servers each
     And the entry runs
     And the entry was asked 4 times
@@ -109,25 +109,25 @@
     And the entry is asked 3 times
     Then the entry's answers are right and lack nothing
 
-  Scenario: The caller goes away while its query runs
-    # A robot gives up or its radio link breaks. Work on a query that nobody waits for takes slots
-    # from those who do.
+  Scenario: The caller disconnects while its query runs
+    # A caller gives up or loses its connection. Work on its query would take slots from queries
+    # whose callers still wait.
     Given an upstream for the entry of 5 shards with 1 server each
     And each server of the upstream takes 20000 ms longer
     And the entry runs
-    When a caller of the entry leaves once its query has reached each server of the upstream
+    When a caller of the entry disconnects once its query has reached each server of the upstream
     Then soon each server of the upstream saw its request cancelled
     And soon the entry runs no query
 
   Scenario: Servers come back cold after a restart
     # The first server of each shard was restarted; its caches are empty and each request takes
-    # twenty times as long for a while. Sent its usual half of the queries, it would set the tail of
-    # every one of them.
+    # twenty times as long for a while. With its usual half of the requests, it would determine the
+    # tail latency of every query.
     Given an upstream for the entry of 4 shards with 2 servers each
     And the entry runs
     And the entry was asked 20 times
-    And the entry has heard of the health of each server
-    When the first server of each shard of the upstream restarts and is cold for long
+    And the entry has received the health of each server
+    When the first server of each shard of the upstream restarts and stays cold
     And the entry is asked 80 times one after the other
     Then the entry's answers are right and lack nothing
-    And the cold servers of the upstream got less than half as much work as the others
+    And the cold servers of the upstream received less than half as many requests as the others
--- a/features/upstream_garbage.feature
+++ b/features/upstream_garbage.feature
@@ -1,22 +1,22 @@
-Feature: Upstreams that answer with something else than the answer
+Feature: Upstreams that send invalid or wrong answers
 
-  Answers arrive late, crossed, of another version or as no answer at all. Whatever a server sends,
-  a caller is shown rows of its own query at one snapshot, and a coverage that is true.
+  Answers may be late, for another request, of another version or malformed. Whatever a server
+  sends, callers get only rows of their own query at one snapshot, with correct coverage.
 
   Scenario Outline: The only server of a shard answers with <garbage>
-    # One server of a shard has a fault, or something between it and the entry mixes up answers.
-    # Taken as it came, the caller would be shown rows of another query or version, or would wait
-    # for good; here the shard is named as missing and the coverage says so.
+    # A server has a fault, or an intermediary mixes up answers. If the answer were accepted, the
+    # caller would get rows of another query or version, or would wait forever. Instead the shard
+    # is listed as missing and the coverage is lower.
     Given an upstream for the entry of 4 shards with 1 server each
-    And the entry's rule gives 800 ms to an answer
+    And the entry's rule has a deadline of 800 ms
     And the entry runs
     And the upstream's server of shard "s02" answers with "<garbage>"
     When the entry is asked 2 times
     Then the entry's answers are right and lack only shard "s02"
-    And an exchange with that server of the upstream has after 2 s come to "<fault>"
+    And after 2 s an exchange with that server of the upstream has the outcome "<outcome>"
 
     Examples:
-      | garbage             | fault        |
+      | garbage             | outcome      |
       | bad_json            | garbage      |
       | not_an_object       | garbage      |
       | wrong_id            | wrong_answer |
@@ -32,15 +32,15 @@
       | endless_head        | garbage      |
       | informational_flood | garbage      |
       | not_http            | garbage      |
-      | drip                | nothing yet  |
+      | drip                | none yet     |
       | error_page          | garbage      |
       | crossed_refusal     | wrong_answer |
       | wrong_status        | garbage      |
 
   Scenario Outline: One of two servers of a shard answers with <garbage>
-    # The other server holds the same shard, so nothing need be missing.
+    # The other server holds the same shard, so no shard is missing.
     Given an upstream for the entry of 3 shards with 2 servers each
-    And the entry's rule gives 3000 ms to an answer
+    And the entry's rule has a deadline of 3000 ms
     And the entry runs
     And the upstream's server "navigator-01-0" answers with "<garbage>"
     When the entry is asked 6 times
@@ -58,23 +58,23 @@
       | not_http            |
       | error_page          |
 
-  Scenario: A server sends another answer behind the right one
-    # The bytes of the second answer lie in the socket when the connection is used again. Read as
-    # the answer to the next request, they would show its caller rows that nobody asked for.
+  Scenario: A server sends a second answer after the right one
+    # The second answer is still in the socket buffer when the connection is used again. Read as the
+    # answer to the next request, it would give the caller rows of another query.
     Given an upstream for the entry of 2 shards with 1 server each
     And the entry runs
     And the upstream's server of shard "s01" answers with "answer_twice"
     When the entry is asked 5 times
     Then the entry's answers are right and lack nothing
 
-  Scenario Outline: An upstream's shard map is <mistake>
-    # A deploy of the upstream publishes a map that can't be used. Taken over, it would send queries
-    # to servers that do not exist, or coverage would be told by wrong weights.
-    When the upstream's shard map is read with <mistake>
+  Scenario Outline: An upstream's shard map has <error>
+    # A deployment of the upstream publishes an invalid map. If it were adopted, queries would go to
+    # servers that do not exist, or coverage would be computed from wrong weights.
+    When the upstream's shard map is read with <error>
     Then the upstream's shard map is refused because of "<field>"
 
     Examples:
-      | mistake                      | field          |
+      | error                        | field          |
       | no version                   | version        |
       | a negative epoch             | epoch          |
       | a version as text            | version        |
