--- a/src/alderhatch/entry/entry_node.py
+++ b/src/alderhatch/entry/entry_node.py
@@ -305,10 +305,10 @@
                 self._send_to_control(effect)
             case ProbeServer(server_id=server_id):
                 for prober in self._health_pollers:
-                    prober.hurry(server_id)
+                    prober.probe_now(server_id)
             case FetchShardMap(upstream=upstream):
                 for poller in self.map_pollers:
-                    poller.hurry(upstream)
+                    poller.fetch_now(upstream)
 
     def _finish(self, query: int, outcome: Outcome) -> None:
         finish = self._finish_callbacks.pop(query, None)
@@ -330,7 +330,7 @@
             for held_id in self.pool.server_ids(shard_map.upstream)
             if held_id not in known_ids
         ]
-        self.pool.adopt(shard_map.upstream, shard_map.servers, removed)
+        self.pool.update_servers(shard_map.upstream, shard_map.servers, removed)
         self.feed(ShardMapFetched(shard_map))
         self._update_shares()
         self._update_leaving()
@@ -354,12 +354,12 @@
         leaving = frozenset(
             server.server_id
             for server in self.known_servers()
-            if any(host.names(server.address, server.port) for host in self._leaving_hosts)
+            if any(host.matches(server.address, server.port) for host in self._leaving_hosts)
         )
         self.addresses.platform_leaving = [
             (entry.address, entry.port)
             for entry in self.addresses.roster
-            if any(host.names(entry.address, entry.port) for host in self._leaving_hosts)
+            if any(host.matches(entry.address, entry.port) for host in self._leaving_hosts)
         ]
         if leaving != self._leaving_server_ids:
             self._leaving_server_ids = leaving
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -241,9 +241,9 @@
             upstream = self.table.upstream(name)
             connected = set(self._pool.server_ids(name))
             gone = connected - upstream.targets.keys()
-            self._pool.adopt(name, [one.server for one in upstream.targets.values()], gone)
+            self._pool.update_servers(name, [one.server for one in upstream.targets.values()], gone)
         for name in self._pool.upstreams() - self._routed_upstreams:
-            self._pool.adopt(name, (), self._pool.server_ids(name))
+            self._pool.update_servers(name, (), self._pool.server_ids(name))
         self._update_shares()
 
     # Requests that crash servers
