--- a/src/alderhatch/cli/upstream.py
+++ b/src/alderhatch/cli/upstream.py
@@ -8,9 +8,9 @@
 import typer
 from pydantic import TypeAdapter, ValidationError
 
-from ..settings.allowed import Allowed
+from ..settings.allowed_values import AllowedValues
 from ..settings.fault import SettingsFaultsError
-from ..settings.loader import explain_error, read_toml
+from ..settings.loader import read_toml, to_settings_fault
 from ..standin.app import UpstreamOptions, run_upstream
 from ..standin.fault_script import FaultStep, parse_fault_script
 from ..standin.standin_server import ServiceTime, UpstreamShape
@@ -88,8 +88,8 @@
     try:
         return parse_fault_script(file.raw.get(FAULT_KEY, []))
     except ValidationError as exc:
-        allowed = Allowed(TypeAdapter(list[FaultStep]).json_schema())
-        found = [explain_error(file, allowed, error, (FAULT_KEY,)) for error in exc.errors()]
+        allowed = AllowedValues(TypeAdapter(list[FaultStep]).json_schema())
+        found = [to_settings_fault(file, allowed, error, (FAULT_KEY,)) for error in exc.errors()]
         raise SettingsFaultsError(found) from exc
 
 
--- a/src/alderhatch/settings/allowed.py
+++ b/src/alderhatch/settings/allowed_values.py
@@ -18,7 +18,7 @@
 }
 
 
-class Allowed:
+class AllowedValues:
     """What a schema allows at each of its keys."""
 
     def __init__(self, schema: dict[str, Any]) -> None:
--- a/src/alderhatch/settings/declaration.py
+++ b/src/alderhatch/settings/declaration.py
@@ -11,10 +11,10 @@
 from ..core.control.tier_settings import TierSettings
 from ..core.rule import Rule
 from ..core.rule_list import RuleFault, RuleFaultsError, RuleList, parse_rules
-from .allowed import Allowed, nearest
+from .allowed_values import AllowedValues, nearest
 from .fault import SettingsFault, SettingsFaultsError
 from .key_lines import KeyPath
-from .loader import TomlFile, dotted, explain_error, read_toml
+from .loader import TomlFile, dotted, read_toml, to_settings_fault
 from .shadowing import find_shadowed
 
 _RULE_KEY = "rule"
@@ -68,13 +68,13 @@
     try:
         adapter.validate_json(orjson.dumps(tier), strict=True)
     except ValidationError as exc:
-        allowed = Allowed(adapter.json_schema())
-        return [explain_error(file, allowed, error, (_TIER_KEY,)) for error in exc.errors()]
+        allowed = AllowedValues(adapter.json_schema())
+        return [to_settings_fault(file, allowed, error, (_TIER_KEY,)) for error in exc.errors()]
     return []
 
 
 def _located(file: TomlFile, faults: tuple[RuleFault, ...]) -> list[SettingsFault]:
-    allowed = Allowed(TypeAdapter(Rule).json_schema())
+    allowed = AllowedValues(TypeAdapter(Rule).json_schema())
     located = []
     for fault in faults:
         inner = _path_of(fault.field)
@@ -93,7 +93,7 @@
     return tuple(int(part) if part.isdigit() else part for part in field.split("."))
 
 
-def _reworded(fault: RuleFault, path: KeyPath, allowed: Allowed) -> tuple[str, str]:
+def _reworded(fault: RuleFault, path: KeyPath, allowed: AllowedValues) -> tuple[str, str]:
     message = fault.message[:1].lower() + fault.message[1:]
     if message.startswith(_WRONG_TYPE):
         message = "is of the wrong type"
--- a/src/alderhatch/settings/loader.py
+++ b/src/alderhatch/settings/loader.py
@@ -13,7 +13,7 @@
 from pydantic import ValidationError
 from pydantic_core import ErrorDetails
 
-from .allowed import Allowed, nearest
+from .allowed_values import AllowedValues, nearest
 from .checks import CrossFault, check_control, check_entry
 from .fault import SettingsFault, SettingsFaultsError
 from .file_checks import check_control_files, check_entry_files
@@ -142,8 +142,8 @@
         return _check(file.raw, model), []
     except ValidationError as exc:
         errors = [error for error in exc.errors() if not _is_echo(error)]
-    allowed = Allowed(model.model_json_schema())
-    faults = [explain_error(file, allowed, error) for error in errors]
+    allowed = AllowedValues(model.model_json_schema())
+    faults = [to_settings_fault(file, allowed, error) for error in errors]
     # Comparisons between the keys that are sound are made too, so that one run shows every fault.
     sound = _without(file.raw, [error["loc"] for error in errors])
     try:
@@ -164,8 +164,8 @@
     return error["type"] == "too_short" and isinstance(given, list) and len(given) > 0
 
 
-def explain_error(
-    file: TomlFile, allowed: Allowed, error: ErrorDetails, table: KeyPath = ()
+def to_settings_fault(
+    file: TomlFile, allowed: AllowedValues, error: ErrorDetails, table: KeyPath = ()
 ) -> SettingsFault:
     """Return the fault that an error of pydantic tells of.
 
--- a/tools/write_catalogues.py
+++ b/tools/write_catalogues.py
@@ -27,7 +27,7 @@
 from alderhatch.errors import ANSWERS, Ran, Resend
 from alderhatch.log_events import LogEvent
 from alderhatch.metric_catalogue import Metric
-from alderhatch.settings.allowed import Allowed
+from alderhatch.settings.allowed_values import AllowedValues
 from alderhatch.settings.attribute_docs import attribute_docs
 from alderhatch.settings.models import (
     CallerLimits,
@@ -162,7 +162,7 @@
 
 def _keys(model: type[Any]) -> Iterator[tuple[str, str, str, str]]:
     schema = TypeAdapter(model).json_schema()
-    allowed = Allowed(schema)
+    allowed = AllowedValues(schema)
     docs = attribute_docs(model)
     required = set(schema.get("required", ()))
     for name in _field_names(model):
