--- a/src/alderhatch/settings/__init__.py
+++ b/src/alderhatch/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files: TOML, typed and checked."""
+"""Reads and validates settings files and rule declarations in TOML."""
--- a/src/alderhatch/settings/attribute_docs.py
+++ b/src/alderhatch/settings/attribute_docs.py
@@ -1,4 +1,4 @@
-"""The docstrings that stand right under the attributes of a class."""
+"""Extracts the attribute docstrings of a class from its source."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from typing import Any
 
 
-def attribute_docs(owner: type[Any]) -> dict[str, str]:
-    """Return for each attribute the text under it, in one line.
+def attribute_docs(cls: type[Any]) -> dict[str, str]:
+    """Return the docstring of each attribute, joined to one line.
 
-    Attributes of the classes that ``owner`` inherits from are included.
+    Attributes inherited from base classes defined in ``alderhatch`` are included.
     """
-    found: dict[str, str] = {}
-    for part in reversed(owner.__mro__[:-1]):
-        if part.__module__.startswith("alderhatch"):
-            found |= _own_docs(part)
-    return found
+    docs: dict[str, str] = {}
+    for base in reversed(cls.__mro__[:-1]):
+        if base.__module__.startswith("alderhatch"):
+            docs |= _own_docs(base)
+    return docs
 
 
-def _own_docs(owner: type[Any]) -> dict[str, str]:
-    tree = ast.parse(textwrap.dedent(inspect.getsource(owner)))
+def _own_docs(cls: type[Any]) -> dict[str, str]:
+    tree = ast.parse(textwrap.dedent(inspect.getsource(cls)))
     body = tree.body[0].body if isinstance(tree.body[0], ast.ClassDef) else []
-    found: dict[str, str] = {}
-    for attribute, text in pairwise(body):
+    docs: dict[str, str] = {}
+    for attribute, docstring in pairwise(body):
         if not isinstance(attribute, ast.AnnAssign) or not isinstance(attribute.target, ast.Name):
             continue
-        if isinstance(text, ast.Expr) and isinstance(text.value, ast.Constant):
-            found[attribute.target.id] = " ".join(str(text.value.value).split())
-    return found
+        if isinstance(docstring, ast.Expr) and isinstance(docstring.value, ast.Constant):
+            docs[attribute.target.id] = " ".join(str(docstring.value.value).split())
+    return docs
--- a/src/alderhatch/settings/fault.py
+++ b/src/alderhatch/settings/fault.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file: every mistake with its place and what is allowed."""
+"""Errors in settings files, with their location and the allowed values."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class SettingsFault(NamedTuple):
-    """One mistake in one file."""
+    """One error in a settings file."""
 
     file: str
     line: int
-    """The line that is at fault, counted from 1; 0 for the file as a whole."""
+    """The line of the error, counted from 1; 0 if the error is not in one line."""
     key: str
-    """A dotted path to the key at fault, empty for the file as a whole."""
+    """The dotted path of the invalid key; empty if the error concerns the whole file."""
     message: str
     allowed: str = ""
-    """What may stand there, where that can be said in a few words."""
+    """The values that are allowed; empty if there is no short description."""
 
     def __str__(self) -> str:
-        place = f"{self.file}:{self.line}" if self.line else self.file
+        location = f"{self.file}:{self.line}" if self.line else self.file
         subject = f"{self.key}: " if self.key else ""
         allowed = f" (allowed: {self.allowed})" if self.allowed else ""
-        return f"{place}: {subject}{self.message}{allowed}"
+        return f"{location}: {subject}{self.message}{allowed}"
 
 
 class SettingsFaultsError(Exception):
-    """A settings file has mistakes; none of it is taken."""
+    """A settings file has errors; none of its settings are used."""
 
     def __init__(self, faults: Sequence[SettingsFault]) -> None:
         super().__init__("\n".join(str(fault) for fault in faults))
         self.faults = tuple(faults)
-        """All mistakes, in the order of their lines."""
+        """All errors, in the order of their lines."""
--- a/src/alderhatch/settings/key_lines.py
+++ b/src/alderhatch/settings/key_lines.py
@@ -1,8 +1,8 @@
-"""On which line of a TOML text each key stands.
+"""Finds the line of each key in a TOML document.
 
-``tomllib`` gives values without their places. Here the text is cut into its statements, the
-shortest runs of lines that ``tomllib`` accepts by themselves, and each statement tells which keys
-it sets. No TOML is parsed by hand.
+``tomllib`` returns values without line numbers. This module splits the document into statements,
+the shortest runs of lines that ``tomllib`` parses by themselves, and records the keys that each
+statement sets. There is no separate TOML parser.
 """
 
 from __future__ import annotations
@@ -12,34 +12,34 @@
 from typing import NamedTuple, TypeAlias
 
 KeyPath: TypeAlias = tuple[str | int, ...]
-"""Names of tables and keys and, within lists, positions counted from 0."""
+"""Names of tables and keys, and positions in lists, counted from 0."""
 
 MAX_STATEMENT_LINES = 400
-"""A longer statement is taken line by line, so that a damaged text costs no quadratic time."""
+"""A longer statement is skipped line by line, to avoid quadratic time in a malformed file."""
 
 
 class _Statement(NamedTuple):
     line: int
-    """The statement's first line, counted from 1."""
+    """The first line of the statement, counted from 1."""
     text: str
     parsed: dict[str, object]
 
 
 class KeyLines:
-    """The lines of a text's keys."""
+    """The line of each key in a document."""
 
     def __init__(self, text: str) -> None:
         self._lines: dict[KeyPath, int] = {}
-        self._counts: dict[KeyPath, int] = {}
+        self._array_lengths: dict[KeyPath, int] = {}
         prefix: KeyPath = ()
-        for statement in _statements(text):
+        for statement in _split_statements(text):
             if statement.text.lstrip().startswith("["):
                 prefix = self._open_table(statement)
             else:
-                self._add(prefix, statement.parsed, statement)
+                self._add_keys(prefix, statement.parsed, statement)
 
     def find(self, path: KeyPath) -> int:
-        """Return the line of a key, or of the nearest table round it, or 0 if there is neither."""
+        """Return the line of a key, or of the innermost enclosing table, or 0 if neither exists."""
         for length in range(len(path), 0, -1):
             line = self._lines.get(path[:length])
             if line is not None:
@@ -54,33 +54,33 @@
             path = (*path, name)
             self._lines.setdefault(path, statement.line)
             if isinstance(node, list):
-                path = (*path, self._next_position(path))
+                path = (*path, self._append_element(path))
                 node = node[0]
-            elif path in self._counts:
-                path = (*path, self._counts[path] - 1)
+            elif path in self._array_lengths:
+                path = (*path, self._array_lengths[path] - 1)
         self._lines.setdefault(path, statement.line)
         return path
 
-    def _next_position(self, path: KeyPath) -> int:
-        position = self._counts.get(path, 0)
-        self._counts[path] = position + 1
+    def _append_element(self, path: KeyPath) -> int:
+        position = self._array_lengths.get(path, 0)
+        self._array_lengths[path] = position + 1
         return position
 
-    def _add(self, prefix: KeyPath, node: object, statement: _Statement) -> None:
+    def _add_keys(self, prefix: KeyPath, node: object, statement: _Statement) -> None:
         if isinstance(node, dict):
             for name, child in node.items():
                 path = (*prefix, name)
                 self._lines.setdefault(path, statement.line)
-                self._add(path, child, statement)
+                self._add_keys(path, child, statement)
         elif isinstance(node, list):
-            starts = _element_lines(statement, len(node))
+            element_lines = _element_lines(statement, len(node))
             for position, child in enumerate(node):
                 path = (*prefix, position)
-                self._lines.setdefault(path, starts[position])
-                self._add(path, child, statement._replace(line=starts[position]))
+                self._lines.setdefault(path, element_lines[position])
+                self._add_keys(path, child, statement._replace(line=element_lines[position]))
 
 
-def _statements(text: str) -> Iterator[_Statement]:
+def _split_statements(text: str) -> Iterator[_Statement]:
     lines = text.splitlines()
     start = 0
     while start < len(lines):
@@ -98,7 +98,7 @@
 
 
 def _element_lines(statement: _Statement, count: int) -> list[int]:
-    """Return the line on which each element of a statement's list ends, at best knowledge."""
+    """Return the line on which each element of a list ends, or the first line if unknown."""
     found: list[int] = []
     lines = statement.text.splitlines()
     for offset in range(len(lines)):
--- a/src/alderhatch/settings/secret.py
+++ b/src/alderhatch/settings/secret.py
@@ -1,4 +1,4 @@
-"""Reads the secret that the tier's own processes share."""
+"""Reads the secret shared by all processes of the tier."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def read_secret(path: Path) -> bytes:
-    """Return the shared secret, without white space at its ends.
+    """Return the shared secret, without leading and trailing white space.
 
     Raises:
         SettingsFaultsError: If the file is missing, too short, or open to other users of the
-            host. The message holds nothing of its content.
+            host. The message contains nothing of the file's content.
     """
     found = list(check_private_file("secret_file", path, MIN_SECRET_BYTES))
     if found:
