--- a/features/steps/settings_declaration_steps.py
+++ b/features/steps/settings_declaration_steps.py
@@ -12,7 +12,7 @@
 from alderhatch.core.rule_list import RuleList
 from alderhatch.settings.declaration import load_declaration
 from alderhatch.settings.fault import SettingsFaultsError
-from alderhatch.settings.shadowing import find_shadowed
+from alderhatch.settings.shadowing import find_shadowed_rules
 
 DECLARATION = """[[rule]]
 name = "conflict-check"
@@ -40,7 +40,7 @@
 
 
 @given('a declaration of two rules in which "{text}" reads "{instead}"')
-def step_declaration_changed(context, text, instead):
+def step_modified_declaration(context, text, instead):
     assert DECLARATION.count(text) == 1
     _write(context, DECLARATION.replace(text, instead.replace("\\n", "\n")))
 
@@ -50,14 +50,14 @@
     _write(context, f"[tier]\n{setting}\n{DECLARATION}")
 
 
-def _quoted(cell):
+def _to_toml_list(cell):
     return "[" + ", ".join(f'"{word.strip()}"' for word in cell.split(",")) + "]"
 
 
-def _toml_of(row):
+def _rule_toml(row):
     lines = ["[[rule]]", f'name = "{row["name"]}"', "[rule.when]"]
     lines += [
-        f"{key} = {_quoted(row[key])}" for key in ("kind", "upstream", "priority") if row[key]
+        f"{key} = {_to_toml_list(row[key])}" for key in ("kind", "upstream", "priority") if row[key]
     ]
     if row["idempotent"]:
         lines.append(f"idempotent = {row['idempotent']}")
@@ -69,8 +69,8 @@
 
 
 @given("a declaration with these rules")
-def step_rules_table(context):
-    _write(context, "\n".join(_toml_of(row) for row in context.table))
+def step_declaration_of_rules(context):
+    _write(context, "\n".join(_rule_toml(row) for row in context.table))
 
 
 @when("the declaration is loaded")
@@ -97,23 +97,23 @@
 def step_warnings(context):
     assert context.declaration_faults == (), context.declaration_faults
     rules = context.declaration.rules
-    found = [(one.rule, one.by) for one in find_shadowed(rules)]
-    assert found == [(row["rule"], row["because of"]) for row in context.table], found
-    warned = [fault.key.split("(")[1].rstrip(")") for fault in context.declaration.warnings]
-    assert warned == [rule for rule, _ in found]
+    found = [(shadowed.rule, shadowed.by) for shadowed in find_shadowed_rules(rules)]
+    assert found == [(row["rule"], row["shadowed by"]) for row in context.table], found
+    warned_rules = [fault.key.split("(")[1].rstrip(")") for fault in context.declaration.warnings]
+    assert warned_rules == [rule for rule, _ in found]
     assert all(fault.line for fault in context.declaration.warnings)
 
 
-def _some(rng, words):
+def _random_subset(rng, words):
     return tuple(rng.sample(words, rng.choice((0, 0, 1, 2, len(words)))))
 
 
 def _random_when(rng):
     header = HeaderMatch("X-Unit", *rng.choice((("r1", None), (None, "r"), ("s", None))))
     return When(
-        kind=_some(rng, ["route", "log"]),
-        upstream=_some(rng, ["navigator", "deskline"]),
-        priority=_some(rng, list(Priority)),
+        kind=_random_subset(rng, ["route", "log"]),
+        upstream=_random_subset(rng, ["navigator", "deskline"]),
+        priority=_random_subset(rng, list(Priority)),
         idempotent=rng.choice((None, None, True, False)),
         headers=rng.choice(((), (), (header,))),
     )
@@ -132,22 +132,22 @@
     )
 
 
-@then("for random lists of rules a shadowed rule takes none of many random requests")
-def step_shadowed_takes_none(context):
+@then("in random rule lists no random request is matched to a shadowed rule")
+def step_shadowed_rules_never_match(context):
     rng = random.Random(7)
-    shadowed_rules = 0
+    shadowed_count = 0
     for _ in range(200):
-        whens = [_random_when(rng) for _ in range(6)]
-        rules = RuleList([Rule(f"rule-{n}", Serve(), when) for n, when in enumerate(whens)])
-        shadowed = {one.rule for one in find_shadowed(rules)}
-        shadowed_rules += len(shadowed)
+        conditions = [_random_when(rng) for _ in range(6)]
+        rules = RuleList([Rule(f"rule-{n}", Serve(), when) for n, when in enumerate(conditions)])
+        shadowed_names = {shadowed.rule for shadowed in find_shadowed_rules(rules)}
+        shadowed_count += len(shadowed_names)
         for _ in range(50):
-            assert rules.match(_random_request(rng)).name not in shadowed
-    assert shadowed_rules > 100, "the trial found too few shadowed rules to say anything"
+            assert rules.match(_random_request(rng)).name not in shadowed_names
+    assert shadowed_count > 100, "the random rule lists contain too few shadowed rules"
 
 
-@then('the declaration examples of "{first}" and "{second}" are sound')
-def step_examples_sound(context, first, second):
+@then('the declaration examples of "{first}" and "{second}" are valid')
+def step_examples_valid(context, first, second):
     for deployment in (first, second):
         declaration = load_declaration(Path("examples") / deployment / "rules.toml")
         assert len(declaration.rules.rules) >= 5
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -32,7 +32,7 @@
 address = "10.0.0.9"
 port = 7500
 
-# Another one.
+# Another control host.
 [[controls]]
 name = "control-3"
 address = "10.0.0.9"
@@ -92,51 +92,53 @@
     context.load_settings = load
 
 
-def _replaced(text, old, new):
-    assert text.count(old) >= 1, f"{old!r} is not in the text"
+def _replace_first(text, old, new):
+    assert text.count(old) >= 1, f"{old!r} not found in the settings text"
     return text.replace(old, new.replace("\\n", "\n"), 1)
 
 
 @given('settings of an entry in which "{text}" reads "{instead}"')
-def step_entry_changed(context, text, instead):
-    _write(context, _replaced(ENTRY, text, instead), load_entry)
+def step_modified_entry(context, text, instead):
+    _write(context, _replace_first(ENTRY, text, instead), load_entry)
 
 
 @given('settings of an entry in which "{text}" reads ""')
-def step_entry_left_out(context, text):
-    _write(context, _replaced(ENTRY, text, ""), load_entry)
+def step_entry_without_line(context, text):
+    _write(context, _replace_first(ENTRY, text, ""), load_entry)
 
 
 @given('settings of a control host in which "{text}" reads "{instead}"')
-def step_control_changed(context, text, instead):
-    _write(context, _replaced(CONTROL, text, instead), load_control)
+def step_modified_control(context, text, instead):
+    _write(context, _replace_first(CONTROL, text, instead), load_control)
 
 
 @given('settings of a control host in which "{text}" reads ""')
-def step_control_left_out(context, text):
-    _write(context, _replaced(CONTROL, text, ""), load_control)
+def step_control_without_line(context, text):
+    _write(context, _replace_first(CONTROL, text, ""), load_control)
 
 
-@given("settings of a control host in which the last peer is left out")
+@given("settings of a control host in which the last peer is missing")
 def step_even_peers(context):
     _write(context, CONTROL.rsplit("[[peers]]", 1)[0], load_control)
 
 
-@given("settings of an entry with a wrong port, an unknown key and a drain that is too short")
-def step_many_faults(context):
-    text = _replaced(ENTRY, "port = 7400", "port = 74000")
-    text = _replaced(text, "address_ttl_ms", "adress_ttl_ms")
-    _write(context, _replaced(text, "drain_ms = 20000", "drain_ms = 100"), load_entry)
+@given(
+    "settings of an entry with an invalid port, an unknown key and a drain time that is too short"
+)
+def step_three_errors(context):
+    text = _replace_first(ENTRY, "port = 7400", "port = 74000")
+    text = _replace_first(text, "address_ttl_ms", "adress_ttl_ms")
+    _write(context, _replace_first(text, "drain_ms = 20000", "drain_ms = 100"), load_entry)
 
 
 @given('a settings file with the text "{text}"')
-def step_raw_text(context, text):
+def step_settings_text(context, text):
     _write(context, "", load_entry)
     context.settings_path.write_bytes(text.encode().decode("unicode_escape").encode("latin-1"))
 
 
 @given("settings of a control host whose {key} is {state}")
-def step_named_files(context, key, state):
+def step_referenced_files(context, key, state):
     _write(context, CONTROL, load_control)
     folder = context.settings_path.parent
     for name in ("secret", "keys"):
@@ -179,7 +181,7 @@
     'the settings have one fault, at line {line:d}, key "{key}", that says "{message}" and allows "{allowed}"'  # noqa: E501
 )
 def step_one_fault(context, line, key, message, allowed):
-    assert len(context.settings_faults) == 1, [str(one) for one in context.settings_faults]
+    assert len(context.settings_faults) == 1, [str(item) for item in context.settings_faults]
     fault = context.settings_faults[0]
     assert (fault.line, fault.key) == (line, key), str(fault)
     assert message in fault.message and allowed in fault.allowed, str(fault)
@@ -194,17 +196,17 @@
 @then('the settings have faults at the keys "{keys}"')
 def step_faults_at(context, keys):
     found = sorted(fault.key for fault in context.settings_faults)
-    assert found == sorted(keys.split(", ")), [str(one) for one in context.settings_faults]
+    assert found == sorted(keys.split(", ")), [str(item) for item in context.settings_faults]
 
 
-@then("the settings faults hold nothing of the secret")
+@then("the settings faults contain nothing of the secret")
 def step_no_secret(context):
-    told = "\n".join(str(fault) for fault in context.settings_faults)
-    assert SECRET[:5] not in told, told
+    messages = "\n".join(str(fault) for fault in context.settings_faults)
+    assert SECRET[:5] not in messages, messages
 
 
-@then("the settings name the secret file beside the settings file")
-def step_relative(context):
+@then("the path of the secret file is relative to the folder of the settings file")
+def step_relative_path(context):
     assert context.settings_faults == ()
     assert context.settings.secret_file == context.settings_path.parent.resolve() / "secret"
 
@@ -214,13 +216,17 @@
 )
 def step_examples(context, deployment, entries, zones, controls):
     folder = EXAMPLES / deployment
-    hosts = [load_entry(path, False) for path in sorted((folder / "entry").glob("*.toml"))]
-    quorum = [load_control(path, False) for path in sorted((folder / "control").glob("*.toml"))]
-    assert (len(hosts), len(quorum)) == (entries, controls)
-    assert len({cfg.zone for cfg in hosts}) == zones
+    entry_settings = [load_entry(path, False) for path in sorted((folder / "entry").glob("*.toml"))]
+    control_settings = [
+        load_control(path, False) for path in sorted((folder / "control").glob("*.toml"))
+    ]
+    assert (len(entry_settings), len(control_settings)) == (entries, controls)
+    assert len({cfg.zone for cfg in entry_settings}) == zones
     assert (
-        len({cfg.name for cfg in hosts}) == len({cfg.callers.address for cfg in hosts}) == entries
+        len({cfg.name for cfg in entry_settings})
+        == len({cfg.callers.address for cfg in entry_settings})
+        == entries
     )
-    assert {cfg.controls for cfg in hosts} == {cfg.peers for cfg in quorum}
-    assert len({tuple(one.name for one in cfg.upstreams) for cfg in hosts}) == 1
-    assert {cfg.lease_ms for cfg in quorum} == {quorum[0].lease_ms}
+    assert {cfg.controls for cfg in entry_settings} == {cfg.peers for cfg in control_settings}
+    assert len({tuple(item.name for item in cfg.upstreams) for cfg in entry_settings}) == 1
+    assert {cfg.lease_ms for cfg in control_settings} == {control_settings[0].lease_ms}
--- a/src/alderhatch/settings/allowed_values.py
+++ b/src/alderhatch/settings/allowed_values.py
@@ -1,4 +1,4 @@
-"""Says in a few words what may stand at a key, from the JSON schema of its type."""
+"""Describes the values that a key may have, from the JSON schema of its type."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from .key_lines import KeyPath
 
 _NAME_PATTERN = r"^[a-z0-9][a-z0-9._-]{0,62}$"
-_PLAIN_TYPES = {
+_TYPE_DESCRIPTIONS = {
     "boolean": "true or false",
     "integer": "a whole number",
     "number": "a number",
-    "string": "text",
-    "null": "nothing",
+    "string": "a string",
+    "null": "null",
 }
 
 
 class AllowedValues:
-    """What a schema allows at each of its keys."""
+    """The values that a schema allows at each of its keys."""
 
     def __init__(self, schema: dict[str, Any]) -> None:
         self._schema = schema
 
     def describe(self, path: KeyPath) -> str:
-        """Return what may stand at a key, or an empty text where the schema has no such key."""
+        """Return the allowed values of a key, or an empty string if the schema has no such key."""
         nodes = [self._schema]
         for part in path:
             nodes = [child for node in nodes for child in self._children(node, part)]
-        texts = dict.fromkeys(text for node in nodes if (text := self._words(node)))
+        texts = dict.fromkeys(text for node in nodes if (text := self._describe_node(node)))
         return " or ".join(texts)
 
     def keys(self, path: KeyPath) -> list[str]:
-        """Return the keys that a table may have, over all forms that it can take."""
-        return list(dict.fromkeys(name for form in self.forms(path) for name in form))
+        """Return the keys that a table may have, over all variants of the table."""
+        return list(dict.fromkeys(name for variant in self.variants(path) for name in variant))
 
-    def forms(self, path: KeyPath) -> list[list[str]]:
-        """Return the keys of each form that a table can take."""
+    def variants(self, path: KeyPath) -> list[list[str]]:
+        """Return the keys of each variant of a table."""
         nodes = [self._schema]
         for part in path:
             nodes = [child for node in nodes for child in self._children(node, part)]
@@ -68,54 +68,57 @@
                 found.append(child)
         return found
 
-    def _words(self, node: dict[str, Any]) -> str:
+    def _describe_node(self, node: dict[str, Any]) -> str:
         options = [option for option in self._resolve(node) if option.get("type") != "null"]
-        return " or ".join(dict.fromkeys(self._option_words(option) for option in options))
+        return " or ".join(dict.fromkeys(self._describe_option(option) for option in options))
 
-    def _option_words(self, node: dict[str, Any]) -> str:
+    def _describe_option(self, node: dict[str, Any]) -> str:
         if "enum" in node:
             return "one of " + ", ".join(str(value) for value in node["enum"])
         match node.get("type"):
             case "array":
-                least = node.get("minItems", 0)
-                few = f"at least {least} of them, " if least else ""
-                most = f"at most {node['maxItems']}, " if "maxItems" in node else ""
-                return f"a list, {few}{most}each {self._words(node.get('items', {})) or 'anything'}"
+                min_count = node.get("minItems", 0)
+                min_items = f"minimum length {min_count}, " if min_count else ""
+                max_items = f"maximum length {node['maxItems']}, " if "maxItems" in node else ""
+                return (
+                    f"a list, {min_items}{max_items}"
+                    f"each item {self._describe_node(node.get('items', {})) or 'anything'}"
+                )
             case "object":
                 return "a table with the keys " + ", ".join(self._properties(node))
             case "integer" | "number" as kind:
-                return " ".join([_PLAIN_TYPES[kind], *_bounds(node)])
+                return " ".join([_TYPE_DESCRIPTIONS[kind], *_describe_bounds(node)])
             case "string":
-                return _text_words(node)
+                return _describe_string(node)
             case kind:
-                return _PLAIN_TYPES.get(str(kind), "")
+                return _TYPE_DESCRIPTIONS.get(str(kind), "")
 
 
-def nearest(word: str, known: Sequence[str]) -> str | None:
-    """Return the known word that a mistyped one most likely stands for, if any is close."""
-    close = difflib.get_close_matches(word, known, n=1)
-    return close[0] if close else None
+def closest_match(key: str, known_keys: Sequence[str]) -> str | None:
+    """Return the known key that is most similar to a mistyped one, or None if none is close."""
+    matches = difflib.get_close_matches(key, known_keys, n=1)
+    return matches[0] if matches else None
 
 
-def _bounds(node: dict[str, Any]) -> list[str]:
-    words = []
+def _describe_bounds(node: dict[str, Any]) -> list[str]:
+    bounds = []
     if "minimum" in node:
-        words.append(f"from {node['minimum']:g}")
+        bounds.append(f"from {node['minimum']:g}")
     if "exclusiveMinimum" in node:
-        words.append(f"over {node['exclusiveMinimum']:g}")
+        bounds.append(f"over {node['exclusiveMinimum']:g}")
     if "maximum" in node:
-        words.append(f"to {node['maximum']:.15g}")
-    return words
+        bounds.append(f"to {node['maximum']:.15g}")
+    return bounds
 
 
-def _text_words(node: dict[str, Any]) -> str:
+def _describe_string(node: dict[str, Any]) -> str:
     if node.get("pattern") == _NAME_PATTERN:
-        return "1 to 63 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit"
+        return "1 to 63 characters of a-z, 0-9, '.', '_' and '-', starting with a letter or digit"
     match node.get("format"):
         case "ip":
             return "an IPv4 or IPv6 address"
         case "path":
             return "a path"
     if "maxLength" in node:
-        return f"text of {node.get('minLength', 0)} to {node['maxLength']} characters"
-    return _PLAIN_TYPES["string"]
+        return f"a string of {node.get('minLength', 0)} to {node['maxLength']} characters"
+    return _TYPE_DESCRIPTIONS["string"]
--- a/src/alderhatch/settings/declaration.py
+++ b/src/alderhatch/settings/declaration.py
@@ -1,4 +1,4 @@
-"""Reads a declaration: the rules and tier-wide settings that a team keeps in version control."""
+"""Reads declarations: rules and tier-wide settings that are kept in version control."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 from ..core.control.tier_settings import TierSettings
 from ..core.rule import Rule
 from ..core.rule_list import RuleFault, RuleFaultsError, RuleList, parse_rules
-from .allowed_values import AllowedValues, nearest
+from .allowed_values import AllowedValues, closest_match
 from .fault import SettingsFault, SettingsFaultsError
 from .key_lines import KeyPath
-from .loader import TomlFile, dotted, read_toml, to_settings_fault
-from .shadowing import find_shadowed
+from .loader import TomlFile, format_path, read_toml, to_settings_fault
+from .shadowing import find_shadowed_rules
 
 _RULE_KEY = "rule"
 _TIER_KEY = "tier"
-_WRONG_TYPE = "input should be a valid"
-"""How pydantic begins to say that a value is of another type."""
-_WRONG_FORM = "Unexpected keyword argument"
-"""What pydantic says of a key that a dataclass does not have."""
+_WRONG_TYPE_PREFIX = "input should be a valid"
+"""Start of pydantic's message for a value of the wrong type, with a lower-case first letter."""
+_UNEXPECTED_KEY_MESSAGE = "Unexpected keyword argument"
+"""Pydantic's message for a key that a dataclass does not have."""
 
 
 class Declaration(NamedTuple):
-    """What a declaration file says."""
+    """The contents of a declaration file."""
 
     rules: RuleList
     tier: dict[str, Any]
-    """The settings of the whole tier that the file gives; those it leaves out stay as they are."""
+    """Tier-wide settings in the file; settings that are not in the file stay unchanged."""
     warnings: tuple[SettingsFault, ...]
-    """What is allowed, but most likely not meant."""
+    """Valid contents that are probably unintended."""
 
 
 def load_declaration(path: Path) -> Declaration:
-    """Read and check a declaration.
+    """Read and validate a declaration.
 
     Args:
-        path: A TOML file with one ``[[rule]]`` table for each rule, in their order, and at most
-            one ``[tier]`` table.
+        path: A TOML file with one ``[[rule]]`` table for each rule, in order of precedence, and at
+            most one ``[tier]`` table.
 
     Raises:
-        SettingsFaultsError: With every mistake.
+        SettingsFaultsError: With all errors in the file.
     """
     file = read_toml(path)
     faults = [
@@ -52,18 +52,18 @@
         if key not in (_RULE_KEY, _TIER_KEY)
     ]
     tier = file.raw.get(_TIER_KEY, {})
-    faults += _tier_faults(file, tier)
+    faults += _check_tier_settings(file, tier)
     rules = RuleList()
     try:
         rules = parse_rules(file.raw.get(_RULE_KEY, []))
     except RuleFaultsError as exc:
-        faults += _located(file, exc.faults)
+        faults += _to_settings_faults(file, exc.faults)
     if faults:
         raise SettingsFaultsError(sorted(faults, key=lambda fault: fault.line))
-    return Declaration(rules, tier, tuple(_warnings(file, rules)))
+    return Declaration(rules, tier, tuple(_find_warnings(file, rules)))
 
 
-def _tier_faults(file: TomlFile, tier: object) -> list[SettingsFault]:
+def _check_tier_settings(file: TomlFile, tier: object) -> list[SettingsFault]:
     adapter = TypeAdapter(TierSettings)
     try:
         adapter.validate_json(orjson.dumps(tier), strict=True)
@@ -73,49 +73,51 @@
     return []
 
 
-def _located(file: TomlFile, faults: tuple[RuleFault, ...]) -> list[SettingsFault]:
+def _to_settings_faults(file: TomlFile, faults: tuple[RuleFault, ...]) -> list[SettingsFault]:
     allowed = AllowedValues(TypeAdapter(Rule).json_schema())
     located = []
     for fault in faults:
-        inner = _path_of(fault.field)
-        path: KeyPath = (_RULE_KEY, fault.position - 1, *inner)
-        message, may_be = _reworded(fault, inner, allowed)
+        relative_path = _parse_path(fault.field)
+        path: KeyPath = (_RULE_KEY, fault.position - 1, *relative_path)
+        message, allowed_text = _describe_fault(fault, relative_path, allowed)
         name = fault.rule or "unnamed"
-        place = dotted(inner) or fault.field
-        key = f"rule {fault.position} ({name}): {place}" if fault.position else place
-        located.append(file.fault(path, message, may_be)._replace(key=key))
+        field_path = format_path(relative_path) or fault.field
+        key = f"rule {fault.position} ({name}): {field_path}" if fault.position else field_path
+        located.append(file.fault(path, message, allowed_text)._replace(key=key))
     return located
 
 
-def _path_of(field: str) -> KeyPath:
+def _parse_path(field: str) -> KeyPath:
     if field == "rule":
         return ()
     return tuple(int(part) if part.isdigit() else part for part in field.split("."))
 
 
-def _reworded(fault: RuleFault, path: KeyPath, allowed: AllowedValues) -> tuple[str, str]:
+def _describe_fault(fault: RuleFault, path: KeyPath, allowed: AllowedValues) -> tuple[str, str]:
     message = fault.message[:1].lower() + fault.message[1:]
-    if message.startswith(_WRONG_TYPE):
+    if message.startswith(_WRONG_TYPE_PREFIX):
         message = "is of the wrong type"
     if not path:
         return message, ""
     keys = allowed.keys(path[:-1])
-    if fault.message == _WRONG_FORM and path[-1] in keys:
-        forms = allowed.forms(path[:-1])
-        return "does not go with the other keys", " or ".join(", ".join(form) for form in forms)
+    if fault.message == _UNEXPECTED_KEY_MESSAGE and path[-1] in keys:
+        variants = allowed.variants(path[:-1])
+        return "can't be combined with the other keys", " or ".join(
+            ", ".join(variant) for variant in variants
+        )
     if str(path[-1]) in keys or isinstance(path[-1], int):
         return message, allowed.describe(path)
-    close = nearest(str(path[-1]), keys)
-    hint = f"unknown key; did you mean {close}?" if close else "unknown key"
+    suggestion = closest_match(str(path[-1]), keys)
+    hint = f"unknown key; did you mean {suggestion}?" if suggestion else "unknown key"
     return hint, ", ".join(keys)
 
 
-def _warnings(file: TomlFile, rules: RuleList) -> list[SettingsFault]:
+def _find_warnings(file: TomlFile, rules: RuleList) -> list[SettingsFault]:
     warnings = []
-    for shadowed in find_shadowed(rules):
+    for shadowed in find_shadowed_rules(rules):
         path: KeyPath = (_RULE_KEY, shadowed.position - 1)
         earlier = f"rule {shadowed.by_position} ({shadowed.by})"
-        message = f"never matches: {earlier} already takes every request that it would"
+        message = f"never matches: {earlier} matches every request that it would match"
         key = f"rule {shadowed.position} ({shadowed.rule})"
         warnings.append(file.fault(path, message)._replace(key=key))
     return warnings
--- a/src/alderhatch/settings/shadowing.py
+++ b/src/alderhatch/settings/shadowing.py
@@ -1,4 +1,4 @@
-"""Finds rules that never match, because an earlier rule takes all that they would."""
+"""Finds rules that never match because an earlier rule matches all of their requests."""
 
 from __future__ import annotations
 
@@ -10,57 +10,58 @@
 from ..core.rule_list import RuleList
 
 
-class Shadowed(NamedTuple):
-    """A rule that never matches."""
+class ShadowedRule(NamedTuple):
+    """A rule that never matches, and the earlier rule that shadows it."""
 
     position: int
-    """Counted from 1."""
+    """Position of the shadowed rule, counted from 1."""
     rule: str
     by_position: int
+    """Position of the earlier rule, counted from 1."""
     by: str
-    """The name of the earlier rule that takes everything."""
+    """Name of the earlier rule."""
 
 
-def find_shadowed(rules: RuleList) -> list[Shadowed]:
-    """Return the rules of which one earlier rule takes every request.
+def find_shadowed_rules(rules: RuleList) -> list[ShadowedRule]:
+    """Return the rules whose requests are all matched by a single earlier rule.
 
-    A rule that is covered only by several earlier ones together is not found.
+    A rule that is shadowed only by several earlier rules together is not found.
     """
     found = []
     for later, rule in enumerate(rules.rules):
         for earlier, other in enumerate(rules.rules[:later]):
-            if takes_all(other.when, rule.when):
-                found.append(Shadowed(later + 1, rule.name, earlier + 1, other.name))
+            if covers(other.when, rule.when):
+                found.append(ShadowedRule(later + 1, rule.name, earlier + 1, other.name))
                 break
     return found
 
 
-def takes_all(wide: When, narrow: When) -> bool:
-    """Return whether every request that fits ``narrow`` also fits ``wide``."""
+def covers(wide: When, narrow: When) -> bool:
+    """Return whether every request that matches ``narrow`` also matches ``wide``."""
     pairs = (
         (wide.kind, narrow.kind),
         (wide.upstream, narrow.upstream),
         (wide.caller, narrow.caller),
         (wide.zone, narrow.zone),
     )
-    if not all(_words_include(outer, inner) for outer, inner in pairs):
+    if not all(_covers_values(outer, inner) for outer, inner in pairs):
         return False
-    every = set(wide.priority) == set(Priority)
-    if not every and not _words_include(wide.priority, narrow.priority):
+    all_priorities = set(wide.priority) == set(Priority)
+    if not all_priorities and not _covers_values(wide.priority, narrow.priority):
         return False
     if wide.idempotent is not None and wide.idempotent != narrow.idempotent:
         return False
-    return all(_is_implied(header, narrow.headers) for header in wide.headers)
+    return all(_is_implied_by_any(header, narrow.headers) for header in wide.headers)
 
 
-def _words_include(outer: Sequence[str], inner: Sequence[str]) -> bool:
+def _covers_values(outer: Sequence[str], inner: Sequence[str]) -> bool:
     if not outer:
         return True
     return bool(inner) and set(inner) <= set(outer)
 
 
-def _is_implied(header: HeaderMatch, given: Sequence[HeaderMatch]) -> bool:
-    return any(_implies(other, header) for other in given)
+def _is_implied_by_any(header: HeaderMatch, headers_of_narrow: Sequence[HeaderMatch]) -> bool:
+    return any(_implies(other, header) for other in headers_of_narrow)
 
 
 def _implies(narrow: HeaderMatch, wide: HeaderMatch) -> bool:
