--- a/bench/policy/core_entry.py
+++ b/bench/policy/core_entry.py
@@ -34,7 +34,7 @@
 from alderhatch.core.policy import Policy
 from alderhatch.core.request import Request
 from alderhatch.core.rule_list import RuleList
-from alderhatch.errors import Ran
+from alderhatch.errors import RunStatus
 
 from .model_server import Job
 
@@ -150,10 +150,10 @@
                 self.tier.finished(query, coverage, "")
             case _:
                 failure = outcome.failure
-                if failure.answer.ran is Ran.NOT_RUN and self.tier.was_accepted(query):
+                if failure.answer.ran is RunStatus.NOT_RUN and self.tier.was_accepted(query):
                     self.faults.append(f"query {query}: {failure.kind} says not run, but it ran")
                 # Only what certainly did not run may be sent again without a doubt.
-                again = failure.retry_after_ms if failure.answer.ran is Ran.NOT_RUN else None
+                again = failure.retry_after_ms if failure.answer.ran is RunStatus.NOT_RUN else None
                 self.tier.finished(query, 0.0, failure.kind, again)
 
     def _check_answer(self, outcome: Answered) -> None:
--- a/features/steps/caller_input_steps.py
+++ b/features/steps/caller_input_steps.py
@@ -8,7 +8,7 @@
 import trio
 from behave import given, then, when
 
-from alderhatch.errors import ANSWERS, ErrorKind
+from alderhatch.errors import ERROR_ANSWERS, ErrorKind
 from features.entry_world import LOOPBACK, world
 
 GOOD = {
@@ -223,5 +223,5 @@
 def step_page_rows(context):
     assert len(context.page_rows) >= 20, context.page_rows
     for kind, status, ran, resend in context.page_rows:
-        answer = ANSWERS[ErrorKind(kind)]
+        answer = ERROR_ANSWERS[ErrorKind(kind)]
         assert (answer.status, answer.ran, answer.resend) == (int(status), ran, resend), kind
--- a/features/steps/cli_caller_steps.py
+++ b/features/steps/cli_caller_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from alderhatch.errors import ANSWERS, ErrorKind
+from alderhatch.errors import ERROR_ANSWERS, ErrorKind
 from features.support.cli_support import ScriptedEntry, call
 
 BOOK = ("book", "{}", "--upstream", "navigator", "--kind", "dispatch")
@@ -21,7 +21,7 @@
     if word == "done":
         return 200, DONE
     kind = ErrorKind(word)
-    answer = ANSWERS[kind]
+    answer = ERROR_ANSWERS[kind]
     body = {"error": kind, "message": word, "ran": answer.ran, "resend": answer.resend}
     return answer.status, body | {"retry_after_ms": SOON_MS}
 
--- a/features/steps/core_once_steps.py
+++ b/features/steps/core_once_steps.py
@@ -17,7 +17,7 @@
 )
 from alderhatch.core.policy import Policy
 from alderhatch.core.rule import Serve
-from alderhatch.errors import Ran
+from alderhatch.errors import RunStatus
 from features.support.core_harness import CoreHarness, make_map, make_request
 
 
@@ -207,7 +207,7 @@
         assert len(core.records) <= 1, core.records
         ran = may_have_run or core.cancelled
         for record in core.records:
-            assert record.ran is not Ran.NOT_RUN or not ran
+            assert record.ran is not RunStatus.NOT_RUN or not ran
         core.check_not_run()
         assert core.core.running == 0
 
--- a/features/steps/error_steps.py
+++ b/features/steps/error_steps.py
@@ -2,15 +2,15 @@
 
 from behave import then
 
-from alderhatch.errors import ANSWERS, ErrorKind
+from alderhatch.errors import ERROR_ANSWERS, ErrorKind
 
 
 @then("the table of answers has one row for each error kind")
 def step_table_is_whole(context):
-    assert set(ANSWERS) == set(ErrorKind)
+    assert set(ERROR_ANSWERS) == set(ErrorKind)
 
 
 @then('an answer of kind "{kind}" has status {status:d} and says "{ran}"')
 def step_answer_row(context, kind, status, ran):
-    answer = ANSWERS[ErrorKind(kind)]
+    answer = ERROR_ANSWERS[ErrorKind(kind)]
     assert (answer.status, answer.ran) == (status, ran), answer
--- a/features/steps/log_output_steps.py
+++ b/features/steps/log_output_steps.py
@@ -14,7 +14,7 @@
 from alderhatch.log import log_event, set_up_bounded_logs
 from alderhatch.log_events import LogEvent
 from alderhatch.node.request_log import RequestLog, to_request_end
-from alderhatch.request_history import describe, history_of, parse_line
+from alderhatch.request_history import find_request_history, format_line, parse_line
 from features.support.forward_model import ForwardModel, scatter_route, single_route
 
 logger = logging.getLogger("alderhatch")
@@ -53,21 +53,21 @@
 @then("logging them took no wait, and at most {most:d} bytes wait in memory")
 def step_no_wait(context, most):
     # A handler that waited would not have come back at all.
-    assert context.output.waiting_bytes <= most
+    assert context.output.pending_bytes <= most
 
 
 @then("the number of dropped lines is known")
 def step_dropped(context):
     assert context.output.dropped > 0
-    assert context.output.newly_dropped() == context.output.dropped
-    assert context.output.newly_dropped() == 0
+    assert context.output.take_newly_dropped() == context.output.dropped
+    assert context.output.take_newly_dropped() == 0
 
 
 def drain(context):
     os.set_blocking(context.read_fd, False)
     data = b""
     while True:
-        context.output.write_waiting()
+        context.output.write_pending()
         try:
             new = os.read(context.read_fd, 1 << 20)
         except BlockingIOError:
@@ -93,7 +93,7 @@
 
 @then("the process goes on")
 def step_goes_on(context):
-    assert context.output.waiting_bytes == 0
+    assert context.output.pending_bytes == 0
 
 
 def row(time, host, event, **fields):
@@ -129,7 +129,7 @@
 
 @when('the history of request "{request_id}" is asked for')
 def step_history(context, request_id):
-    context.history = history_of(request_id, context.texts)
+    context.history = find_request_history(request_id, context.texts)
 
 
 @then("it shows these lines in this order")
@@ -140,7 +140,7 @@
 
 @then("its last line tells of each decision with its time")
 def step_history_steps(context):
-    shown = describe(context.history[-1])
+    shown = format_line(context.history[-1])
     assert len(shown) == 3 and "20.0 ms" in shown[2] and "why=lost" in shown[2], shown
 
 
@@ -298,7 +298,7 @@
 
 @then("the history of the gather has the lines of all three hosts")
 def step_gather_history(context):
-    found = [(line.host, line.event) for line in history_of("r-1", context.texts)]
+    found = [(line.host, line.event) for line in find_request_history("r-1", context.texts)]
     assert found == [
         ("entry-1", "share_lost"),
         ("entry-2", "share_ended"),
--- a/features/steps/message_check_steps.py
+++ b/features/steps/message_check_steps.py
@@ -9,7 +9,7 @@
 from alderhatch.codec import Codec
 from alderhatch.core.forwarding.caller_hosts import HostRecord
 from alderhatch.core.forwarding.server_record import ServerRecord
-from alderhatch.message_check import MessageError, check_of
+from alderhatch.message_check import MessageError, build_check
 from alderhatch.node.tier_messages import (
     TIER_MESSAGE_TYPES,
     ConfigurationNews,
@@ -21,7 +21,7 @@
 )
 from features.support.message_records import Record
 
-check = check_of(Record)
+check = build_check(Record)
 
 
 @then('the value {value} as a record is refused at "{place}"')
@@ -30,7 +30,7 @@
     try:
         found = check(json.loads(value))
     except MessageError as exc:
-        assert exc.place == place, exc.place
+        assert exc.field_path == place, exc.field_path
         return
     raise AssertionError(found)
 
--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -363,11 +363,11 @@
 @then("the storage opens with 40 entries, and cut something off")
 def step_opens_cut(context):
     folder = _check_40(context.files)
-    assert folder.cut_bytes > 0
+    assert folder.truncated_bytes > 0
     folder.write(LogWrite(None, (_entry(41),)))
     folder.close()
     again = DataFolder(context.files, NAME)
-    assert again.log.last_index == 41 and again.cut_bytes == 0
+    assert again.log.last_index == 41 and again.truncated_bytes == 0
 
 
 @when('the storage gets "{error}" from each "{operation}" from now on')
--- a/features/support/core_harness.py
+++ b/features/support/core_harness.py
@@ -29,7 +29,7 @@
 from alderhatch.core.rule import Rule, Serve
 from alderhatch.core.rule_list import RuleList
 from alderhatch.core.shard_map import Server, Shard, ShardMap, Snapshot
-from alderhatch.errors import Ran
+from alderhatch.errors import RunStatus
 
 ZONES = ("zone-a", "zone-b", "zone-c")
 
@@ -165,7 +165,7 @@
             if isinstance(effect, SendShard):
                 attempts_by_request.setdefault(effect.request.request_id, []).append(effect.attempt)
         for query, outcome in self.finished.items():
-            if isinstance(outcome, Answered) or outcome.failure.answer.ran is not Ran.NOT_RUN:
+            if isinstance(outcome, Answered) or outcome.failure.answer.ran is not RunStatus.NOT_RUN:
                 continue
             for attempt in attempts_by_request.get(f"r{query}", []):
                 assert self.faults.get(attempt) in NOT_RUN_FAULTS, (query, outcome)
--- a/src/alderhatch/cli/ctl_caller.py
+++ b/src/alderhatch/cli/ctl_caller.py
@@ -11,7 +11,7 @@
 
 from ..clock import SECOND, LoopClock, Millis, WallClock
 from ..core.priority import Priority
-from ..errors import ErrorKind, Ran, Resend
+from ..errors import ErrorKind, Resend, RunStatus
 from ..http.client import http_once
 from ..http.exchange import HttpExchangeError
 from .ctl_context import OutputOption, ask, context_of
@@ -181,7 +181,7 @@
         if error.kind is not ErrorKind.IN_PROGRESS or clock.now() + pause >= end:
             break
         await trio.sleep(pause / SECOND)
-    if lost and error.ran is Ran.NOT_RUN and not ask_for.repeatable:
+    if lost and error.ran is RunStatus.NOT_RUN and not ask_for.repeatable:
         # An entry that refuses the resend speaks for itself only: an earlier one, whose answer
         # was lost, may have run it. "Not run" would make somebody book it a second time.
         raise _lost(ErrorKind.OUTCOME_UNKNOWN, f"an answer was lost; then: {error}", ask_for)
--- a/src/alderhatch/cli/ctl_logs.py
+++ b/src/alderhatch/cli/ctl_logs.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from ..request_history import describe, history_of
+from ..request_history import find_request_history, format_line
 from .exit_codes import ExitCode
 
 app = typer.Typer()
@@ -32,10 +32,10 @@
         except OSError as exc:
             typer.echo(f"{file}: {exc.strerror}", err=True)
             raise typer.Exit(ExitCode.INVALID) from exc
-    history = history_of(request_id, texts)
+    history = find_request_history(request_id, texts)
     if not history:
         typer.echo(f"no line names request {request_id}", err=True)
         raise typer.Exit(ExitCode.REFUSED)
     for line in history:
-        for row in describe(line):
+        for row in format_line(line):
             typer.echo(row)
--- a/src/alderhatch/cli/operator_client.py
+++ b/src/alderhatch/cli/operator_client.py
@@ -10,7 +10,7 @@
 import trio
 
 from ..clock import SECOND, LoopClock, Millis
-from ..errors import ANSWERS, ErrorKind, Ran, Resend
+from ..errors import ERROR_ANSWERS, ErrorKind, Resend, RunStatus
 from ..http.client import http_once
 from ..http.exchange import HttpExchangeError, HttpReply
 
@@ -41,14 +41,14 @@
         """The whole answer, with the fields that only some kinds have."""
 
     @property
-    def ran(self) -> Ran:
+    def ran(self) -> RunStatus:
         """Whether the change or request may have been carried out."""
-        return Ran(self.details.get("ran", ANSWERS[self.kind].ran))
+        return RunStatus(self.details.get("ran", ERROR_ANSWERS[self.kind].ran))
 
     @property
     def resend(self) -> Resend:
         """What to do with it now."""
-        return Resend(self.details.get("resend", ANSWERS[self.kind].resend))
+        return Resend(self.details.get("resend", ERROR_ANSWERS[self.kind].resend))
 
 
 class ChangeNotes(NamedTuple):
@@ -218,7 +218,7 @@
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
         message = f"status {reply.status} without a known kind of error"
         return RemoteError(ErrorKind.INTERNAL, message, {})
-    return RemoteError(kind, details.get("message", ANSWERS[kind].meaning), details)
+    return RemoteError(kind, details.get("message", ERROR_ANSWERS[kind].meaning), details)
 
 
 def _read(reply: HttpReply) -> dict[str, Any]:
--- a/src/alderhatch/cli/printing.py
+++ b/src/alderhatch/cli/printing.py
@@ -11,7 +11,7 @@
 import typer
 
 from ..clock import SECOND
-from ..errors import ErrorKind, Ran, Resend
+from ..errors import ErrorKind, Resend, RunStatus
 from ..settings.fault import SettingsFault
 from .exit_codes import ExitCode
 from .operator_client import RemoteError
@@ -96,7 +96,11 @@
         typer.echo(f"  {place}: {fault.get('message')}", err=True)
     for won in exc.details.get("won", ()):
         typer.echo(f"  revision {won['revision']} by {won['who']}: {won['summary']}", err=True)
-    ran = {Ran.NOT_RUN: "It did not run.", Ran.RAN: "It ran.", Ran.UNKNOWN: "It may have run."}
+    ran = {
+        RunStatus.NOT_RUN: "It did not run.",
+        RunStatus.RAN: "It ran.",
+        RunStatus.UNKNOWN: "It may have run.",
+    }
     typer.echo(f"{ran[exc.ran]} {ADVICE[exc.resend]}", err=True)
 
 
@@ -106,7 +110,7 @@
         return ExitCode.CONFLICT
     if exc.kind is ErrorKind.INTERNAL:
         return ExitCode.FAULT
-    if exc.ran is Ran.UNKNOWN:
+    if exc.ran is RunStatus.UNKNOWN:
         return ExitCode.UNKNOWN
     return ExitCode.REFUSED if exc.resend is Resend.NEVER else ExitCode.UNAVAILABLE
 
--- a/src/alderhatch/codec.py
+++ b/src/alderhatch/codec.py
@@ -11,7 +11,7 @@
 import cbor2
 
 from .errors import AlderhatchError, ErrorKind, Failure
-from .message_check import MessageError, check_of
+from .message_check import MessageError, build_check
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 """Nothing larger is sent or accepted; larger things go in chunks."""
@@ -21,7 +21,7 @@
     """Turns the messages of one protocol into bytes and back."""
 
     def __init__(self, *message_types: type[Any]) -> None:
-        self._checks = {one.__name__: check_of(one) for one in message_types}
+        self._checks = {one.__name__: build_check(one) for one in message_types}
 
     def encode(self, message: tuple[Any, ...]) -> bytes:
         """Return the bytes of one message.
@@ -52,7 +52,7 @@
         try:
             return check(raw[1])
         except MessageError as exc:
-            raise _refused(f"{raw[0]}: {exc.message}", f"{raw[0]}.{exc.place}") from exc
+            raise _refused(f"{raw[0]}: {exc.message}", f"{raw[0]}.{exc.field_path}") from exc
 
 
 def _refused(message: str, field: str | None = None) -> AlderhatchError:
--- a/src/alderhatch/control/_log_driver.py
+++ b/src/alderhatch/control/_log_driver.py
@@ -92,8 +92,8 @@
         that was interrupted.
         """
         storage = self._storage
-        if storage.cut_bytes:
-            log_event(LogEvent.LOG_TAIL_CUT, bytes=storage.cut_bytes)
+        if storage.truncated_bytes:
+            log_event(LogEvent.LOG_TAIL_CUT, bytes=storage.truncated_bytes)
         hard_state, log = HardState(), RaftLog(None, ())
         if storage.cluster_id:
             hard_state, log = storage.hard_state, storage.log
--- a/src/alderhatch/control/_log_founding.py
+++ b/src/alderhatch/control/_log_founding.py
@@ -86,5 +86,5 @@
         membership = Membership(tuple(members))
         entry = LogEntry(1, FOUNDING_TERM, EntryKind.MEMBERSHIP, b"", membership)
         cluster_id = os.urandom(_CLUSTER_ID_BYTES).hex()
-        self._storage.found(cluster_id, HardState(FOUNDING_TERM, ""), entry)
+        self._storage.bootstrap(cluster_id, HardState(FOUNDING_TERM, ""), entry)
         log_event(LogEvent.LOG_FOUNDED, cluster=cluster_id, members=list(self._founders))
--- a/src/alderhatch/core/at_most_once.py
+++ b/src/alderhatch/core/at_most_once.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from ..errors import ErrorKind, Failure, Ran
+from ..errors import ErrorKind, Failure, RunStatus
 from .core_state import CoreState
 from .dispatcher import Dispatcher, SendOutcome
 from .entry_events import (
@@ -93,7 +93,7 @@
         if event.claim is Claim.UNAVAILABLE:
             # The claim may still have been recorded. Nothing was sent, so it is released;
             # otherwise a resend would get "in progress" for a request that never ran.
-            self._record(run, Ran.NOT_RUN, None)
+            self._record(run, RunStatus.NOT_RUN, None)
         self._end(run)
 
     def _decode_stored(self, stored: bytes | None) -> Outcome | None:
@@ -212,12 +212,12 @@
         self._send(run)
 
     def _end_ran(self, run: SingleRun, outcome: Outcome) -> None:
-        self._record(run, Ran.RAN, outcome)
+        self._record(run, RunStatus.RAN, outcome)
         self._finish(run, outcome)
         self._end(run)
 
     def _end_unknown(self, run: SingleRun, why: str) -> None:
-        self._record(run, Ran.UNKNOWN, None)
+        self._record(run, RunStatus.UNKNOWN, None)
         if not run.caller_served:
             run.caller_served = True
             self._state.refuse(run.query, run.rule, ErrorKind.OUTCOME_UNKNOWN, why)
@@ -225,14 +225,14 @@
 
     def _end_not_run(self, run: SingleRun, kind: ErrorKind, why: str) -> None:
         """End a request that no server has run, and release its claim."""
-        self._record(run, Ran.NOT_RUN, None)
+        self._record(run, RunStatus.NOT_RUN, None)
         if not run.caller_served:
             run.caller_served = True
             retry = max(run.retry_after or 0.0, MIN_REFUSED_RETRY_MS)
             self._state.refuse(run.query, run.rule, kind, why, retry)
         self._end(run)
 
-    def _record(self, run: SingleRun, ran: Ran, outcome: Outcome | None) -> None:
+    def _record(self, run: SingleRun, ran: RunStatus, outcome: Outcome | None) -> None:
         data = encode_outcome(outcome) if outcome is not None else b""
         request = run.request
         self._state.effects.append(
--- a/src/alderhatch/core/entry_events.py
+++ b/src/alderhatch/core/entry_events.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple, TypeAlias
 
 from ..clock import Millis
-from ..errors import Failure, Ran
+from ..errors import Failure, RunStatus
 from .shard_map import ShardMap, Snapshot
 
 if TYPE_CHECKING:
@@ -299,7 +299,7 @@
     query: int
     caller: str
     request_id: str
-    ran: Ran
+    ran: RunStatus
     """``not_run`` releases the claim, so that a resend may run."""
     outcome: bytes
     """The outcome as encoded by the core; empty unless the request ran."""
--- a/src/alderhatch/core/forwarding/hand_over.py
+++ b/src/alderhatch/core/forwarding/hand_over.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from ...clock import SECOND, Millis
-from ...errors import ANSWERS, AlderhatchError, ErrorKind, Failure, Resend
+from ...errors import ERROR_ANSWERS, AlderhatchError, ErrorKind, Failure, Resend
 from .caller_hosts import HostRecord
 
 MAX_HOSTS_TRIED = 3
@@ -109,7 +109,7 @@
         Raises:
             AlderhatchError: If the request should not be sent to another host.
         """
-        if ANSWERS[failure.kind].resend is not Resend.OTHER_ENTRY:
+        if ERROR_ANSWERS[failure.kind].resend is not Resend.OTHER_ENTRY:
             raise AlderhatchError(failure)
         self._targets.avoid(host.name, now)
         self._last_error = AlderhatchError(failure)
--- a/src/alderhatch/entry/control_link.py
+++ b/src/alderhatch/entry/control_link.py
@@ -21,7 +21,7 @@
     RulesChanged,
     ServersLeaving,
 )
-from ..errors import AlderhatchError, Ran
+from ..errors import AlderhatchError, RunStatus
 from .address_book import EntryAddress
 from .control_client import ControlClient
 from .control_hook import ControlEffect, EntryHooks
@@ -168,7 +168,7 @@
             case ClaimRun():
                 assert self._nursery is not None
                 self._nursery.start_soon(partial(self._claim, effect))
-            case RecordOutcome(ran=Ran.NOT_RUN, caller=caller, request_id=request_id):
+            case RecordOutcome(ran=RunStatus.NOT_RUN, caller=caller, request_id=request_id):
                 self.client.release_claim(caller, request_id)
             case RecordOutcome(caller=caller, request_id=request_id, outcome=outcome):
                 self.client.record_outcome(caller, request_id, outcome)
--- a/src/alderhatch/errors.py
+++ b/src/alderhatch/errors.py
@@ -14,7 +14,7 @@
 from .clock import Millis
 
 
-class Ran(StrEnum):
+class RunStatus(StrEnum):
     """Whether any upstream began to run the request."""
 
     NOT_RUN = "not_run"
@@ -78,108 +78,135 @@
 
     status: int
     """The HTTP status."""
-    ran: Ran
+    ran: RunStatus
     resend: Resend
     meaning: str
     """One sentence for the person who reads it."""
 
 
-ANSWERS: dict[ErrorKind, ErrorAnswer] = {
+ERROR_ANSWERS: dict[ErrorKind, ErrorAnswer] = {
     ErrorKind.BAD_REQUEST: ErrorAnswer(
-        400, Ran.NOT_RUN, Resend.NEVER, "A field is missing, unknown or out of its range."
+        400, RunStatus.NOT_RUN, Resend.NEVER, "A field is missing, unknown or out of its range."
     ),
     ErrorKind.TOO_LARGE: ErrorAnswer(
-        413, Ran.NOT_RUN, Resend.NEVER, "The head or the body is larger than the limit."
+        413, RunStatus.NOT_RUN, Resend.NEVER, "The head or the body is larger than the limit."
     ),
     ErrorKind.TOO_SLOW: ErrorAnswer(
-        408, Ran.NOT_RUN, Resend.SAME_ENTRY, "The request did not arrive whole in time."
+        408, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "The request did not arrive whole in time."
     ),
     ErrorKind.NOT_FOUND: ErrorAnswer(
-        404, Ran.NOT_RUN, Resend.NEVER, "There is nothing under this path or name."
+        404, RunStatus.NOT_RUN, Resend.NEVER, "There is nothing under this path or name."
     ),
     ErrorKind.UNAUTHORIZED: ErrorAnswer(
-        401, Ran.NOT_RUN, Resend.NEVER, "The key is missing or not known."
+        401, RunStatus.NOT_RUN, Resend.NEVER, "The key is missing or not known."
     ),
     ErrorKind.FORBIDDEN: ErrorAnswer(
-        403, Ran.NOT_RUN, Resend.NEVER, "The key does not have the role that this needs."
+        403, RunStatus.NOT_RUN, Resend.NEVER, "The key does not have the role that this needs."
     ),
     ErrorKind.REFUSED_BY_RULE: ErrorAnswer(
-        403, Ran.NOT_RUN, Resend.NEVER, "The first rule that matches the request refuses it."
+        403, RunStatus.NOT_RUN, Resend.NEVER, "The first rule that matches the request refuses it."
     ),
     ErrorKind.UNKNOWN_UPSTREAM: ErrorAnswer(
-        404, Ran.NOT_RUN, Resend.NEVER, "No upstream of this name is configured."
+        404, RunStatus.NOT_RUN, Resend.NEVER, "No upstream of this name is configured."
     ),
     ErrorKind.NO_SNAPSHOT: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.OTHER_ENTRY, "This entry has no shard map of the upstream yet."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.OTHER_ENTRY,
+        "This entry has no shard map of the upstream yet.",
     ),
     ErrorKind.NO_CONFIGURATION: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.OTHER_ENTRY, "This node has not learnt its configuration yet."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.OTHER_ENTRY,
+        "This node has not learnt its configuration yet.",
     ),
     ErrorKind.NOT_SERVING: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.OTHER_ENTRY, "This node stands by, and reaches none that serves."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.OTHER_ENTRY,
+        "This node stands by, and reaches none that serves.",
     ),
     ErrorKind.CALLER_LIMIT: ErrorAnswer(
-        429, Ran.NOT_RUN, Resend.SAME_ENTRY, "The caller, or its rule, is over its rate."
+        429, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "The caller, or its rule, is over its rate."
     ),
     ErrorKind.OVERLOADED: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.SAME_ENTRY, "The queue is full, or its wait outlasts the deadline."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.SAME_ENTRY,
+        "The queue is full, or its wait outlasts the deadline.",
     ),
     ErrorKind.DEADLINE_TOO_SHORT: ErrorAnswer(
-        504, Ran.NOT_RUN, Resend.NEVER, "The deadline cannot be met, so nothing was sent."
+        504, RunStatus.NOT_RUN, Resend.NEVER, "The deadline cannot be met, so nothing was sent."
     ),
     ErrorKind.LEASE_EXPIRED: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.OTHER_ENTRY, "This entry is cut off from control."
+        503, RunStatus.NOT_RUN, Resend.OTHER_ENTRY, "This entry is cut off from control."
     ),
     ErrorKind.STOPPING: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.OTHER_ENTRY, "This entry is stopping and takes no new request."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.OTHER_ENTRY,
+        "This entry is stopping and takes no new request.",
     ),
     ErrorKind.QUARANTINED: ErrorAnswer(
-        422, Ran.NOT_RUN, Resend.SAME_ENTRY, "Requests with this body crashed upstreams."
+        422, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "Requests with this body crashed upstreams."
     ),
     ErrorKind.LEDGER_UNAVAILABLE: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.SAME_ID, "The run ledger could not record the claim."
+        503, RunStatus.NOT_RUN, Resend.SAME_ID, "The run ledger could not record the claim."
     ),
     ErrorKind.REQUEST_ID_REUSED: ErrorAnswer(
-        409, Ran.NOT_RUN, Resend.NEVER, "The request id was used before with another body."
+        409, RunStatus.NOT_RUN, Resend.NEVER, "The request id was used before with another body."
     ),
     ErrorKind.REQUEST_ID_TOO_OLD: ErrorAnswer(
-        410, Ran.UNKNOWN, Resend.NEVER, "The request id is older than what the ledger keeps."
+        410, RunStatus.UNKNOWN, Resend.NEVER, "The request id is older than what the ledger keeps."
     ),
     ErrorKind.IN_PROGRESS: ErrorAnswer(
-        409, Ran.UNKNOWN, Resend.SAME_ID, "An earlier sending of this request still runs."
+        409, RunStatus.UNKNOWN, Resend.SAME_ID, "An earlier sending of this request still runs."
     ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
-        504, Ran.UNKNOWN, Resend.NEVER, "The request may have run; its answer was lost."
+        504, RunStatus.UNKNOWN, Resend.NEVER, "The request may have run; its answer was lost."
     ),
     ErrorKind.COVERAGE_TOO_LOW: ErrorAnswer(
-        504, Ran.RAN, Resend.SAME_ENTRY, "The answer covers less than the least that was asked for."
+        504,
+        RunStatus.RAN,
+        Resend.SAME_ENTRY,
+        "The answer covers less than the least that was asked for.",
     ),
     ErrorKind.UPSTREAM_REFUSED: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.SAME_ENTRY, "Every server that could run it refused to."
+        503, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "Every server that could run it refused to."
     ),
     ErrorKind.UPSTREAM_FAILED: ErrorAnswer(
-        502, Ran.RAN, Resend.NEVER, "The upstream ran it and answered that it failed."
+        502, RunStatus.RAN, Resend.NEVER, "The upstream ran it and answered that it failed."
     ),
     ErrorKind.REVISION_CONFLICT: ErrorAnswer(
-        409, Ran.NOT_RUN, Resend.NEVER, "The configuration is at another revision than expected."
+        409,
+        RunStatus.NOT_RUN,
+        Resend.NEVER,
+        "The configuration is at another revision than expected.",
     ),
     ErrorKind.INVALID_CHANGE: ErrorAnswer(
-        422, Ran.NOT_RUN, Resend.NEVER, "The change does not fit the state or breaks a check."
+        422, RunStatus.NOT_RUN, Resend.NEVER, "The change does not fit the state or breaks a check."
     ),
     ErrorKind.STOP_REFUSED: ErrorAnswer(
-        409, Ran.NOT_RUN, Resend.NEVER, "The stop would take the quorum or a zone's last entry."
+        409,
+        RunStatus.NOT_RUN,
+        Resend.NEVER,
+        "The stop would take the quorum or a zone's last entry.",
     ),
     ErrorKind.NO_LEADER: ErrorAnswer(
-        503, Ran.NOT_RUN, Resend.OTHER_ENTRY, "This control host knows no leader with a quorum."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.OTHER_ENTRY,
+        "This control host knows no leader with a quorum.",
     ),
     ErrorKind.CHANGE_UNKNOWN: ErrorAnswer(
-        504, Ran.UNKNOWN, Resend.SAME_ID, "The change may be accepted; resend it with its id."
+        504, RunStatus.UNKNOWN, Resend.SAME_ID, "The change may be accepted; resend it with its id."
     ),
     ErrorKind.STORAGE_FAILED: ErrorAnswer(
-        507, Ran.UNKNOWN, Resend.SAME_ID, "The disk of the control host failed or is full."
+        507, RunStatus.UNKNOWN, Resend.SAME_ID, "The disk of the control host failed or is full."
     ),
     ErrorKind.INTERNAL: ErrorAnswer(
-        500, Ran.UNKNOWN, Resend.NEVER, "A fault of alderhatch itself; it is in the log."
+        500, RunStatus.UNKNOWN, Resend.NEVER, "A fault of alderhatch itself; it is in the log."
     ),
 }
 """The table from error kind to answer. It has a row for every kind."""
@@ -200,7 +227,7 @@
     @property
     def answer(self) -> ErrorAnswer:
         """The table's row for this kind."""
-        return ANSWERS[self.kind]
+        return ERROR_ANSWERS[self.kind]
 
 
 class AlderhatchError(Exception):
--- a/src/alderhatch/log_output.py
+++ b/src/alderhatch/log_output.py
@@ -44,20 +44,20 @@
         else:
             self._waiting.append(line)
             self._bytes += len(line)
-        self.write_waiting()
+        self.write_pending()
 
     @property
-    def waiting_bytes(self) -> int:
+    def pending_bytes(self) -> int:
         """How many bytes wait to be written."""
         return self._bytes
 
-    def newly_dropped(self) -> int:
+    def take_newly_dropped(self) -> int:
         """Return how many lines were dropped since this was last asked."""
         new = self.dropped - self._told_dropped
         self._told_dropped = self.dropped
         return new
 
-    def write_waiting(self) -> None:
+    def write_pending(self) -> None:
         """Write what waits, as far as the descriptor takes it."""
         while self._waiting:
             line = self._waiting[0]
--- a/src/alderhatch/message_check.py
+++ b/src/alderhatch/message_check.py
@@ -18,16 +18,16 @@
 class MessageError(Exception):
     """A value is not of the annotated type."""
 
-    def __init__(self, message: str, place: str = "") -> None:
+    def __init__(self, message: str, field_path: str = "") -> None:
         super().__init__(message)
         self.message = message
-        self.place = place
+        self.field_path = field_path
         """The dotted path of the field, from the message on."""
 
     def inside(self, name: str | int) -> MessageError:
         """Return the same error as seen from one level further out."""
-        place = f"{name}.{self.place}" if self.place else str(name)
-        return MessageError(self.message, place)
+        field_path = f"{name}.{self.field_path}" if self.field_path else str(name)
+        return MessageError(self.message, field_path)
 
 
 _PLAIN: dict[Any, tuple[type, ...]] = {
@@ -39,7 +39,7 @@
 }
 
 
-def check_of(annotation: Any) -> Check:
+def build_check(annotation: Any) -> Check:
     """Return the check for a type.
 
     Raises:
@@ -53,14 +53,14 @@
         return _none
     origin = get_origin(annotation)
     if origin in (Union, types.UnionType):
-        return _either([check_of(one) for one in get_args(annotation)])
+        return _either([build_check(one) for one in get_args(annotation)])
     if origin is list:
-        return _sequence(check_of(get_args(annotation)[0]), list)
+        return _sequence(build_check(get_args(annotation)[0]), list)
     if origin is tuple and get_args(annotation)[1:] == (...,):
-        return _sequence(check_of(get_args(annotation)[0]), tuple)
+        return _sequence(build_check(get_args(annotation)[0]), tuple)
     if origin is dict:
         key, value = get_args(annotation)
-        return _mapping(check_of(key), check_of(value))
+        return _mapping(build_check(key), build_check(value))
     if isinstance(annotation, type) and issubclass(annotation, Enum):
         return _enum(annotation)
     if isinstance(annotation, type) and hasattr(annotation, "_fields"):
@@ -92,7 +92,7 @@
                 return one(value)
             except MessageError as exc:
                 # The error of the type that got furthest tells most.
-                if error is None or len(exc.place) > len(error.place):
+                if error is None or len(exc.field_path) > len(error.field_path):
                     error = exc
         raise error or MessageError("no type fits")
 
@@ -135,7 +135,7 @@
 
 def _named_tuple(wanted: type[Any]) -> Check:
     hints = get_type_hints(wanted)
-    fields = [(name, check_of(hints[name])) for name in wanted._fields]
+    fields = [(name, build_check(hints[name])) for name in wanted._fields]
     needed = len(fields) - len(wanted._field_defaults)
 
     def check(value: Any) -> Any:
--- a/src/alderhatch/node/kept_state.py
+++ b/src/alderhatch/node/kept_state.py
@@ -15,7 +15,7 @@
 from ..errors import AlderhatchError
 from ..log import log_event
 from ..log_events import LogEvent
-from ..storage.files import DiskFiles, write_whole
+from ..storage.files import DiskFiles, write_atomically
 from .node_state import NodeState
 from .tier_messages import ConfigurationNews, TierView
 
@@ -124,4 +124,4 @@
 
 
 def _write(folder: Path, beliefs: KeptState) -> None:
-    write_whole(DiskFiles(folder), KEPT_NAME, WRITTEN_NAME, CODEC.encode(beliefs))
+    write_atomically(DiskFiles(folder), KEPT_NAME, WRITTEN_NAME, CODEC.encode(beliefs))
--- a/src/alderhatch/node/node.py
+++ b/src/alderhatch/node/node.py
@@ -379,10 +379,10 @@
             self._request_log.flush()
             if self.log_output is None:
                 continue
-            dropped = self.log_output.newly_dropped()
+            dropped = self.log_output.take_newly_dropped()
             if dropped:
                 log_event(LogEvent.LOG_LINES_DROPPED, lines=dropped)
-            self.log_output.write_waiting()
+            self.log_output.write_pending()
 
     async def _listen(self, port: int) -> list[trio.SocketListener]:
         return await trio.open_tcp_listeners(port, host=self.cfg.address, backlog=LISTEN_BACKLOG)
--- a/src/alderhatch/node/split_gather.py
+++ b/src/alderhatch/node/split_gather.py
@@ -23,7 +23,7 @@
     QueryLocally,
     SplitRun,
 )
-from ..errors import AlderhatchError, Ran
+from ..errors import AlderhatchError, RunStatus
 from ..log import log_event
 from ..log_events import LogEvent
 from .dialect import CallerRequest
@@ -194,7 +194,7 @@
                 self._on_host_lost(number, f"invalid message from the host: {exc}", True, nursery)
                 return
             except AlderhatchError as exc:
-                may_have_run = exc.failure.answer.ran is not Ran.NOT_RUN
+                may_have_run = exc.failure.answer.ran is not RunStatus.NOT_RUN
                 self._on_host_lost(number, exc.failure.message, may_have_run, nursery)
                 return
             self._apply(self.split.on_end(number, self._clock.now()), nursery)
--- a/src/alderhatch/request_history.py
+++ b/src/alderhatch/request_history.py
@@ -69,7 +69,7 @@
         return None
 
 
-def history_of(request_id: str, texts: Iterable[str]) -> list[LogLine]:
+def find_request_history(request_id: str, texts: Iterable[str]) -> list[LogLine]:
     """Return what the logs say of a request, in the order of time.
 
     Args:
@@ -104,7 +104,7 @@
     return line.fields.get("server_id") in servers
 
 
-def describe(line: LogLine) -> list[str]:
+def format_line(line: LogLine) -> list[str]:
     """Return a line of a history as text: the event, and below it each decision."""
     fields = dict(line.fields)
     steps = fields.pop("steps", ())
--- a/src/alderhatch/storage/_records.py
+++ b/src/alderhatch/storage/_records.py
@@ -8,7 +8,7 @@
 
 from ..core.raft.log_entry import EntryKind, HardState, LogEntry
 from ..core.raft.membership import Membership
-from ..message_check import Check, MessageError, check_of
+from ..message_check import Check, MessageError, build_check
 
 FORMAT = 1
 """The version of everything in the folder; another one is refused."""
@@ -59,7 +59,7 @@
 _ENTRY = 2
 _RESET = 3
 
-_check_membership: Check = check_of(Membership)
+_check_membership: Check = build_check(Membership)
 
 
 def encode_records(records: list[Record]) -> bytes:
@@ -121,6 +121,6 @@
     if not (isinstance(raw[1], list) and raw[1] and raw[1][0] == FORMAT):
         raise ValueError(f"format {raw[1][:1]}, this program knows format {FORMAT}")
     try:
-        return check_of(head_type)(raw[1])
+        return build_check(head_type)(raw[1])
     except MessageError as exc:
-        raise ValueError(f"no {head_type.__name__}: {exc.place}: {exc.message}") from exc
+        raise ValueError(f"no {head_type.__name__}: {exc.field_path}: {exc.message}") from exc
--- a/src/alderhatch/storage/data_folder.py
+++ b/src/alderhatch/storage/data_folder.py
@@ -11,7 +11,7 @@
 from ._frame import encode_frame, read_frame
 from ._records import FORMAT, Identity, LogReset, Record, decode_head, encode_head
 from .data_folder_error import DataFolderError
-from .files import LOCK_NAME, Files, write_whole
+from .files import LOCK_NAME, Files, write_atomically
 from .journal import PREFIX as JOURNAL_PREFIX
 from .journal import Journal
 from .snapshot_files import PREFIX as SNAPSHOT_PREFIX
@@ -73,7 +73,7 @@
         """Term and vote as they were found."""
         self.log = RaftLog(snapshot, entries or ())
         """Snapshot and entries as they were found."""
-        self.cut_bytes = self._journal.cut_bytes
+        self.truncated_bytes = self._journal.truncated_bytes
         """How many bytes of a write that a crash interrupted were cut off."""
         self._journal.entries.clear()
 
@@ -112,7 +112,7 @@
 
     def _save_identity(self, identity: Identity) -> None:
         data = encode_frame(encode_head(identity), 0, 0)
-        write_whole(self._files, IDENTITY_NAME, _IDENTITY_TEMPORARY, data)
+        write_atomically(self._files, IDENTITY_NAME, _IDENTITY_TEMPORARY, data)
 
     def join(self, cluster_id: str) -> None:
         """Belong to a cluster from now on, with nothing of its log yet.
@@ -123,7 +123,7 @@
         """
         self._begin_log(cluster_id, [])
 
-    def found(self, cluster_id: str, hard_state: HardState, entry: LogEntry) -> None:
+    def bootstrap(self, cluster_id: str, hard_state: HardState, entry: LogEntry) -> None:
         """Begin a new cluster whose log starts with one entry.
 
         Raises:
--- a/src/alderhatch/storage/files.py
+++ b/src/alderhatch/storage/files.py
@@ -73,7 +73,7 @@
 LOCK_NAME = "lock"
 
 
-def write_whole(files: Files, name: str, temporary: str, data: bytes) -> None:
+def write_atomically(files: Files, name: str, temporary: str, data: bytes) -> None:
     """Put a whole new file in place of one, or nothing of it.
 
     Written in place, the file would be half old and half new after a loss of power.
--- a/src/alderhatch/storage/journal.py
+++ b/src/alderhatch/storage/journal.py
@@ -70,7 +70,7 @@
         """Term and vote as of the last frame."""
         self.entries: list[LogEntry] = []
         """The entries read; emptied once they were taken over."""
-        self.cut_bytes = 0
+        self.truncated_bytes = 0
         """How many bytes of an unfinished write were cut off."""
         self._load()
 
@@ -122,7 +122,7 @@
             raise DataFolderError(segment.name, 0, "the head of the segment is damaged")
         self._files.remove(segment.name)
         self._files.sync_folder()
-        self.cut_bytes += len(data)
+        self.truncated_bytes += len(data)
 
     def _take_head(self, segment: _Segment, frame: Frame) -> None:
         try:
@@ -142,7 +142,7 @@
             why = f"a frame is damaged, with a whole one behind it at byte {behind}"
             raise DataFolderError(segment.name, offset, why)
         self._files.truncate(segment.name, offset)
-        self.cut_bytes += len(data) - offset
+        self.truncated_bytes += len(data) - offset
 
     def _take_frame(self, segment: _Segment, frame: Frame, offset: int) -> None:
         try:
--- a/tools/write_catalogues.py
+++ b/tools/write_catalogues.py
@@ -24,7 +24,7 @@
 from alderhatch.cli.exit_codes import ExitCode
 from alderhatch.core.control.tier_settings import TierSettings
 from alderhatch.core.rule import HeaderMatch, Refuse, Rule, Serve, When
-from alderhatch.errors import ANSWERS, Ran, Resend
+from alderhatch.errors import ERROR_ANSWERS, Resend, RunStatus
 from alderhatch.log_events import LogEvent
 from alderhatch.metric_catalogue import Metric
 from alderhatch.settings.allowed import Allowed
@@ -42,9 +42,9 @@
 WRITTEN_BY = "This page is written by `make catalogues` from the code; don't edit it by hand."
 
 RAN_WORDS = {
-    Ran.NOT_RUN: "no: it certainly did not",
-    Ran.RAN: "yes",
-    Ran.UNKNOWN: "not known",
+    RunStatus.NOT_RUN: "no: it certainly did not",
+    RunStatus.RAN: "yes",
+    RunStatus.UNKNOWN: "not known",
 }
 RESEND_WORDS = {
     Resend.NEVER: "no: the same request fails again",
@@ -76,7 +76,7 @@
             RESEND_WORDS[answer.resend],
             answer.meaning,
         )
-        for kind, answer in ANSWERS.items()
+        for kind, answer in ERROR_ANSWERS.items()
     ]
     return _page(
         "Kinds of error",
