--- a/features/errors.feature
+++ b/features/errors.feature
@@ -1,10 +1,10 @@
-Feature: Error kinds and their answers
+Feature: Error catalogue
 
-  Scenario: Every error kind has a row in the table of answers
-    Then the table of answers has one row for each error kind
+  Scenario: Every error kind has a row in the error catalogue
+    Then the error catalogue has one row for each error kind
 
-  Scenario Outline: A refusal tells whether the request ran
-    Then an answer of kind "<kind>" has status <status> and says "<ran>"
+  Scenario Outline: The response to a failed request says whether the request ran
+    Then the error kind "<kind>" has status <status> and run status "<ran>"
 
     Examples:
       | kind            | status | ran     |
--- a/features/metrics.feature
+++ b/features/metrics.feature
@@ -1,4 +1,4 @@
-Feature: Metrics as a Prometheus page
+Feature: Metrics page in the Prometheus format
 
   Scenario: Counters, gauges and histograms appear with their labels
     Given metrics of a process named "entry-1"
@@ -25,21 +25,21 @@
       | alderhatch_entry_request_duration_seconds_sum{process="entry-1",rule="conflict-check"}                         | 90.3125 |
       | alderhatch_entry_coverage_bucket{le="0.98",process="entry-1",rule="routine"}                                   | 0      |
       | alderhatch_entry_coverage_bucket{le="0.99",process="entry-1",rule="routine"}                                   | 1      |
-    And the metrics page shows the processor time and the memory of the process
+    And the metrics page shows the CPU time and the memory of the process
 
-  Scenario: Two pages in a row count nothing twice
+  Scenario: Rendering the page twice counts nothing twice
     Given metrics of a process named "entry-1"
     When these metric updates are made
       | update  | metric         | labels  | value |
       | observe | ENTRY_DURATION | routine | 5     |
-    And the metrics page was read before
+    And the metrics page is rendered once
     Then the metrics page has these samples
       | sample                                                                               | value |
       | alderhatch_entry_request_duration_seconds_count{process="entry-1",rule="routine"}    | 1     |
 
-  Scenario: Ever new label values don't fill the memory
-    # Rules are renamed by a script again and again. Each new name would stay in the memory of every
-    # entry and of whatever reads its metrics, until the entry is killed for it.
+  Scenario: The number of label values is bounded
+    # A script renames rules repeatedly. Each new name would stay in the memory of every entry and
+    # of the metrics system, until the entry runs out of memory and is killed.
     Given metrics of a process named "entry-1"
     When requests of 5000 different rules are counted in the metrics
     Then the metrics page has 2001 samples of "alderhatch_entry_requests_total"
@@ -47,11 +47,11 @@
       | sample                                                                           | value |
       | alderhatch_entry_requests_total{outcome="other",process="entry-1",rule="other"}   | 3000  |
 
-  Scenario: Numbers that are counted elsewhere are copied in when the page is asked for
+  Scenario: Values that are maintained elsewhere are read when the page is requested
     Given metrics of a process named "control-1"
-    When a metric source counts on between two pages
-    Then the second metrics page shows the newer count
+    When the value of a metric source grows between two pages
+    Then the second metrics page shows the newer value
 
-  Scenario: A wrong number of labels is refused at once
+  Scenario: A wrong number of labels is an error
     Given metrics of a process named "entry-1"
-    Then a metric update with too few labels is an error that names the labels
+    Then a metric update with too few labels raises an error that names the labels
--- a/features/steps/log_output_steps.py
+++ b/features/steps/log_output_steps.py
@@ -20,7 +20,7 @@
 logger = logging.getLogger("alderhatch")
 
 
-def on_pipe(context):
+def log_to_pipe(context):
     handlers, level = list(logger.handlers), logger.level
     context.read_fd, write_fd = os.pipe()
     context.output = set_up_bounded_logs("test", write_fd, host="h1")
@@ -33,14 +33,14 @@
     context.add_cleanup(restore)
 
 
-@given("a bounded log on a pipe that nobody reads")
+@given("a bounded log on a pipe that is not read")
 def step_pipe(context):
-    on_pipe(context)
+    log_to_pipe(context)
 
 
-@given("a bounded log on a pipe whose reader is gone")
+@given("a bounded log on a pipe whose reader has closed")
 def step_broken_pipe(context):
-    on_pipe(context)
+    log_to_pipe(context)
     os.close(context.read_fd)
 
 
@@ -50,10 +50,10 @@
         log_event(LogEvent.NODE_STARTED, node=f"{number:08}", filler="x" * 100)
 
 
-@then("logging them took no wait, and at most {most:d} bytes wait in memory")
-def step_no_wait(context, most):
-    # A handler that waited would not have come back at all.
-    assert context.output.pending_bytes <= most
+@then("logging did not block and at most {limit:d} bytes are buffered")
+def step_not_blocked(context, limit):
+    # A blocking handler would not have returned.
+    assert context.output.pending_bytes <= limit
 
 
 @then("the number of dropped lines is known")
@@ -82,7 +82,7 @@
     context.lines = (data + drain(context)).decode().splitlines()
 
 
-@then("whole lines come, oldest first, and new events come too")
+@then("complete lines are read, oldest first, followed by new events")
 def step_lines(context):
     rows = [json.loads(line) for line in context.lines]
     names = [row["fields"]["node"] for row in rows]
@@ -91,18 +91,18 @@
     assert all(row["host"] == "h1" for row in rows)
 
 
-@then("the process goes on")
-def step_goes_on(context):
+@then("the process continues")
+def step_continues(context):
     assert context.output.pending_bytes == 0
 
 
-def row(time, host, event, **fields):
-    known = LogEvent[event.upper()]
+def log_line(time, host, event, **fields):
+    event_type = LogEvent[event.upper()]
     return json.dumps(
         {
             "time": f"2026-01-01 00:00:{time:06.3f}".replace(".", ","),
             "host": host,
-            "number": known.number,
+            "number": event_type.number,
             "event": event,
             "fields": fields,
         }
@@ -116,13 +116,13 @@
         {"at": 20.0, "step": "fault", "shard": "u", "server": "i-1", "why": "lost"},
     ]
     context.texts = [
-        row(9.0, "h1", "server_belief", server_id="i-1", belief="ejected"),
-        row(9.1, "h1", "server_belief", server_id="i-9", belief="ejected"),
-        row(10.0, "h1", "request_ended", request="r1", outcome="failed", steps=steps),
-        row(10.0, "h2", "request_ended", request="r2", outcome="failed"),
-        row(8.0, "h1", "leader_lost", leader="h2"),
-        row(1.0, "h1", "leader_lost", leader="h3"),
-        row(9.5, "h2", "leader_lost", leader="h3"),
+        log_line(9.0, "h1", "server_belief", server_id="i-1", belief="ejected"),
+        log_line(9.1, "h1", "server_belief", server_id="i-9", belief="ejected"),
+        log_line(10.0, "h1", "request_ended", request="r1", outcome="failed", steps=steps),
+        log_line(10.0, "h2", "request_ended", request="r2", outcome="failed"),
+        log_line(8.0, "h1", "leader_lost", leader="h2"),
+        log_line(1.0, "h1", "leader_lost", leader="h3"),
+        log_line(9.5, "h2", "leader_lost", leader="h3"),
         "a line of another program",
     ]
 
@@ -132,26 +132,26 @@
     context.history = find_request_history(request_id, context.texts)
 
 
-@then("it shows these lines in this order")
+@then("the history has these lines in this order")
 def step_history_lines(context):
     found = [(line.host, line.event) for line in context.history]
     assert found == [(one["host"], one["event"]) for one in context.table], found
 
 
-@then("its last line tells of each decision with its time")
+@then("its last line shows each decision with its time")
 def step_history_steps(context):
     shown = format_line(context.history[-1])
     assert len(shown) == 3 and "20.0 ms" in shown[2] and "why=lost" in shown[2], shown
 
 
-@then("it shows no line")
+@then("the history is empty")
 def step_no_history(context):
     assert context.history == []
 
 
-@then('the log line "{text}" is {read}')
-def step_line(context, text, read):
-    assert (parse_line(text) is not None) == (read == "an event")
+@then('the log line "{text}" is parsed as {result}')
+def step_line(context, text, result):
+    assert (parse_line(text) is not None) == (result == "an event")
 
 
 def request_of(number):
@@ -160,7 +160,7 @@
 
 @given("a request log")
 def step_request_log(context):
-    on_pipe(context)
+    log_to_pipe(context)
     context.model = ForwardModel()
     for number in range(20):
         context.model.add_upstream(f"shard{number:02}", 20.0)
@@ -173,7 +173,7 @@
     )
 
 
-def in_log(context, action):
+def write_log(context, action):
     async def main():
         log = RequestLog(context.state)
         action(log)
@@ -194,19 +194,19 @@
     return run, to_request_end(outcome, min(at - run.times.arrived, 100.0))
 
 
-@when("{count:d} requests go well in it")
-def step_well(context, count):
+@when("{count:d} requests succeed")
+def step_succeed(context, count):
     run, end = ended_run(context, single_route("kitchen"))
 
     def write(log):
         for number in range(count):
             log.log_end(request_of(number), run, end)
 
-    in_log(context, write)
+    write_log(context, write)
 
 
-@when("{count:d} requests fail in it at once")
-def step_fail(context, count):
+@when("{count:d} requests fail at once")
+def step_fail_at_once(context, count):
     for index in range(2):
         context.model.servers[f"kitchen-{index}"].mode = "lost"
     run, end = ended_run(context, single_route("kitchen"))
@@ -216,17 +216,15 @@
         for number in range(count):
             log.log_end(request_of(number), run, end)
 
-    in_log(context, write)
+    write_log(context, write)
 
 
-@then("it has written {count:d} lines")
+@then("the request log has {count:d} lines")
 def step_written(context, count):
     assert len(context.rows) == count, len(context.rows)
 
 
-@then(
-    "it has written {count:d} lines more, each with the decisions and the ages of what they rest on"
-)
+@then("the request log has {count:d} more lines with the decisions and the ages of their inputs")
 def step_written_steps(context, count):
     assert len(context.rows) == count, len(context.rows)
     for one in context.rows:
@@ -236,23 +234,23 @@
         assert sends and all("load_age_ms" in step for step in sends), fields
 
 
-@then("it says that {count:d} lines were left out")
-def step_folded(context, count):
+@then("the request log reports {count:d} omitted lines")
+def step_omitted(context, count):
     assert [one["fields"]["count"] for one in context.folded] == [count], context.folded
 
 
-@when("a request fails in it because {cause}")
+@when("a request fails because {cause}")
 def step_fails_because(context, cause):
     model = context.model
     route = single_route("kitchen", idempotent=False)
     match cause:
-        case "every server refuses it":
+        case "every server rejects it":
             for index in range(2):
                 model.servers[f"kitchen-{index}"].shed_share = 1.0
-        case "the connection breaks on its way":
+        case "the connection breaks in transit":
             for index in range(2):
                 model.servers[f"kitchen-{index}"].mode = "lost"
-        case "shards never answer":
+        case "shards never respond":
             for number in range(4):
                 for index in range(2):
                     model.servers[f"shard{number:02}-{index}"].mode = "silent"
@@ -260,7 +258,7 @@
         case _:
             raise AssertionError(cause)
     run, end = ended_run(context, route)
-    in_log(context, lambda log: log.log_end(request_of(1), run, end))
+    write_log(context, lambda log: log.log_end(request_of(1), run, end))
 
 
 @then('its line has the outcome "{outcome}" and a step "{step}" with why "{why}"')
@@ -274,7 +272,7 @@
     ), fields["steps"]
 
 
-@given("the logs of a gather of which one host lost its share and another one lacked parts")
+@given("the logs of a gather in which one host lost its share and another one lacked parts")
 def step_gather_logs(context):
     events = (
         ("entry-1", LogEvent.SHARE_LOST),
--- a/features/steps/message_check_steps.py
+++ b/features/steps/message_check_steps.py
@@ -24,20 +24,20 @@
 check = build_check(Record)
 
 
-@then('the value {value} as a record is refused at "{place}"')
-@then('the value {value} as a record is refused at ""')
-def step_refused(context, value, place=""):
+@then('the value {value} as a record is rejected at "{path}"')
+@then('the value {value} as a record is rejected at ""')
+def step_rejected(context, value, path=""):
     try:
         found = check(json.loads(value))
     except MessageError as exc:
-        assert exc.field_path == place, exc.field_path
+        assert exc.field_path == path, exc.field_path
         return
     raise AssertionError(found)
 
 
-@then("the value {value} as a record is taken as {shown}")
-def step_taken(context, value, shown):
-    assert repr(check(json.loads(value))) == shown
+@then("the value {value} as a record is converted to {result}")
+def step_converted(context, value, result):
+    assert repr(check(json.loads(value))) == result
 
 
 @then("random messages between hosts are the same after encoding and decoding")
--- a/features/steps/metrics_steps.py
+++ b/features/steps/metrics_steps.py
@@ -33,7 +33,7 @@
                 context.metrics.observe(metric, value, *labels)
 
 
-@when("the metrics page was read before")
+@when("the metrics page is rendered once")
 def step_read_before(context):
     context.metrics.render()
 
@@ -44,7 +44,7 @@
         context.metrics.inc(Metric.ENTRY_REQUESTS, f"rule-{number}", "answered")
 
 
-@when("a metric source counts on between two pages")
+@when("the value of a metric source grows between two pages")
 def step_source(context):
     sent = iter((5, 8))
 
@@ -55,7 +55,7 @@
     context.first_samples = _samples(context)
 
 
-@then("the second metrics page shows the newer count")
+@then("the second metrics page shows the newer value")
 def step_second_page(context):
     name = 'alderhatch_entry_shard_requests_total{process="control-1"}'
     assert context.first_samples[name] == 5
@@ -69,7 +69,7 @@
         assert abs(found[row["sample"]] - float(row["value"])) < 1e-9, (row["sample"], found)
 
 
-@then("the metrics page shows the processor time and the memory of the process")
+@then("the metrics page shows the CPU time and the memory of the process")
 def step_process(context):
     found = _samples(context)
     assert found['alderhatch_process_cpu_seconds_total{process="entry-1"}'] > 0
@@ -82,11 +82,11 @@
     assert len(found) == count, len(found)
 
 
-@then("a metric update with too few labels is an error that names the labels")
+@then("a metric update with too few labels raises an error that names the labels")
 def step_labels(context):
     try:
         context.metrics.inc(Metric.ENTRY_REQUESTS, "routine")
     except ValueError as exc:
         assert "outcome" in str(exc)
         return
-    raise AssertionError("no error")
+    raise AssertionError("expected a ValueError")
--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -38,7 +38,7 @@
 
 
 class _Acknowledged:
-    """What a folder has confirmed so far, and what it was asked to write next."""
+    """The data that a folder has acknowledged, and the data of the write in progress."""
 
     def __init__(self):
         self.hard_state = HardState()
@@ -49,63 +49,65 @@
         self.cluster_id = ""
 
 
-def _write(folder, known, hard_state, entries):
-    known.next_hard_state = hard_state
-    known.next_entries = dict(known.entries)
+def _write(folder, acknowledged, hard_state, entries):
+    acknowledged.next_hard_state = hard_state
+    acknowledged.next_entries = dict(acknowledged.entries)
     for entry in entries:
-        for index in [one for one in known.next_entries if one >= entry.index]:
-            del known.next_entries[index]
-        known.next_entries[entry.index] = entry
+        for index in [one for one in acknowledged.next_entries if one >= entry.index]:
+            del acknowledged.next_entries[index]
+        acknowledged.next_entries[entry.index] = entry
     folder.write(LogWrite(hard_state, tuple(entries)))
-    known.hard_state, known.entries = hard_state, dict(known.next_entries)
+    acknowledged.hard_state, acknowledged.entries = hard_state, dict(acknowledged.next_entries)
 
 
-def _workload(files, known):
-    """Everything that a host does with its folder: entries, votes, snapshots, an installation."""
+def _workload(files, acknowledged):
+    """Use the folder as a host does: entries, votes, snapshots, an installed snapshot."""
     folder = DataFolder(files, NAME)
     folder.join("cluster")
-    known.cluster_id = "cluster"
+    acknowledged.cluster_id = "cluster"
     for index in range(1, 9):
-        _write(folder, known, HardState(1, "a"), [_entry(index)])
+        _write(folder, acknowledged, HardState(1, "a"), [_entry(index)])
     folder.save_snapshot(5, 1, MEMBERSHIP, b"state 5")
-    known.snapshot_index = 5
-    _write(folder, known, HardState(2, "b"), [_entry(7, 2), _entry(8, 2), _entry(9, 2)])
+    acknowledged.snapshot_index = 5
+    _write(folder, acknowledged, HardState(2, "b"), [_entry(7, 2), _entry(8, 2), _entry(9, 2)])
     for index in range(10, 16):
-        _write(folder, known, HardState(3, ""), [_entry(index, 3)])
+        _write(folder, acknowledged, HardState(3, ""), [_entry(index, 3)])
     folder.save_snapshot(12, 3, MEMBERSHIP, b"state 12")
-    known.snapshot_index = 12
+    acknowledged.snapshot_index = 12
     state = b"state 30"
     meta = SnapshotMeta(30, 4, MEMBERSHIP, len(state), xxh3_128_hexdigest(state))
     folder.store_chunk(0, state[:4])
     folder.store_chunk(4, state[4:])
-    known.next_entries = {}
+    acknowledged.next_entries = {}
     folder.install_snapshot(meta)
-    known.entries, known.snapshot_index = {}, 30
-    _write(folder, known, HardState(5, "c"), [_entry(31, 5), _entry(32, 5)])
+    acknowledged.entries, acknowledged.snapshot_index = {}, 30
+    _write(folder, acknowledged, HardState(5, "c"), [_entry(31, 5), _entry(32, 5)])
     folder.close()
 
 
-def _check(folder, known):
-    states = (known.hard_state, known.next_hard_state)
+def _check(folder, acknowledged):
+    states = (acknowledged.hard_state, acknowledged.next_hard_state)
     assert folder.hard_state in states, (folder.hard_state, states)
-    assert folder.cluster_id == "cluster" or not known.cluster_id
+    assert folder.cluster_id == "cluster" or not acknowledged.cluster_id
     log = folder.log
     snapshot_index = log.snapshot.index if log.snapshot else 0
-    assert snapshot_index >= known.snapshot_index
+    assert snapshot_index >= acknowledged.snapshot_index
     if log.snapshot:
         text = folder.read_snapshot(log.snapshot)
         assert text == b"state %d" % snapshot_index, text
     found = {
         entry.index: entry for entry in log.entries_between(log.base_index + 1, log.last_index)
     }
-    for entries in (known.entries, known.next_entries):
-        wanted = {index: one for index, one in entries.items() if index > snapshot_index}
-        if found == wanted:
+    for entries in (acknowledged.entries, acknowledged.next_entries):
+        expected = {index: one for index, one in entries.items() if index > snapshot_index}
+        if found == expected:
             return
-    raise AssertionError(f"{sorted(found)} at {snapshot_index}, not {sorted(known.entries)}")
+    raise AssertionError(
+        f"{sorted(found)} after {snapshot_index}, not {sorted(acknowledged.entries)}"
+    )
 
 
-def _kill_and_reopen(context, outcomes, again):
+def _crash_and_reopen(context, outcomes, crash_recovery):
     _small_segments(context)
     files = FaultyFiles()
     _workload(files, _Acknowledged())
@@ -115,22 +117,22 @@
     for crash_at in range(1, total + 1):
         for seed in range(outcomes):
             files = FaultyFiles(seed * 1000 + crash_at)
-            known = _Acknowledged()
+            acknowledged = _Acknowledged()
             files.crash_at = crash_at
             try:
-                _workload(files, known)
-                raise AssertionError("it was not killed")
+                _workload(files, acknowledged)
+                raise AssertionError("the workload ended without a crash")
             except CrashError:
                 files.crash()
-            if again:
-                _kill_recovery(files, seed)
+            if crash_recovery:
+                _crash_recovery(files, seed)
             folder = DataFolder(files, NAME)
-            _check(folder, known)
+            _check(folder, acknowledged)
             folder.close()
             context.storage_recoveries += 1
 
 
-def _kill_recovery(files, seed):
+def _crash_recovery(files, seed):
     for step in range(1 + seed, 12, 3):
         before = files.operations
         files.crash_at = before + step
@@ -144,27 +146,27 @@
 
 @when("the storage is killed at each of its file operations, with {count:d} outcomes each")
 def step_kill_everywhere(context, count):
-    _kill_and_reopen(context, count, again=False)
+    _crash_and_reopen(context, count, crash_recovery=False)
 
 
 @when("the storage is killed at each file operation and again at each of the recovery")
 def step_kill_twice(context):
-    _kill_and_reopen(context, 3, again=True)
+    _crash_and_reopen(context, 3, crash_recovery=True)
 
 
-@then("every time the storage comes back with all that it had acknowledged")
+@then("after each restart the storage has all acknowledged data")
 def step_all_recovered(context):
     assert context.storage_total > 60, context.storage_total
     assert context.storage_recoveries >= 3 * context.storage_total
 
 
-@then("the storage never comes back with what was not written")
+@then("the storage never has data that was not written")
 def step_nothing_else(context):
     # The check after each recovery allows the acknowledged state or the one being written.
     assert context.storage_recoveries == 6 * context.storage_total
 
 
-def _fill(files, cluster="cluster", name=NAME):
+def _create_folder(files, cluster="cluster", name=NAME):
     folder = DataFolder(files, name)
     folder.join(cluster)
     for index in range(1, 41):
@@ -179,7 +181,7 @@
     _small_segments(context)
     context.files = FaultyFiles()
     context.storage_name = NAME
-    _fill(context.files)
+    _create_folder(context.files)
     assert len(_journals(context.files)) >= 3
 
 
@@ -191,10 +193,10 @@
     return next(name for name in files.names() if name.startswith("snapshot-"))
 
 
-def _flip(files, name, offset):
+def _flip_bit(files, name, offset):
     data = bytearray(files.data(name))
     data[offset] ^= 0x10
-    files.put(name, bytes(data))
+    files.replace(name, bytes(data))
 
 
 def _second_frame(files, name):
@@ -205,18 +207,18 @@
 @when("a byte of an early frame is flipped in the storage folder")
 def step_flip_early(context):
     name = _journals(context.files)[-1]
-    _flip(context.files, name, _second_frame(context.files, name) + 20)
+    _flip_bit(context.files, name, _second_frame(context.files, name) + 20)
 
 
 @when("a byte of an older segment is flipped in the storage folder")
 def step_flip_older(context):
     name = _journals(context.files)[-2]
-    _flip(context.files, name, len(context.files.data(name)) - 1)
+    _flip_bit(context.files, name, len(context.files.data(name)) - 1)
 
 
-@when("the head of the last segment is flipped in the storage folder")
+@when("the header of the last segment is flipped in the storage folder")
 def step_flip_head(context):
-    _flip(context.files, _journals(context.files)[-1], 18)
+    _flip_bit(context.files, _journals(context.files)[-1], 18)
 
 
 @when("a frame is moved within the last segment in the storage folder")
@@ -227,8 +229,8 @@
     while _journals(context.files)[-1] == last:
         folder.write(LogWrite(None, (_entry(index),)))
         index += 1
-    for more in range(index, index + 3):
-        folder.write(LogWrite(None, (_entry(more),)))
+    for later_index in range(index, index + 3):
+        folder.write(LogWrite(None, (_entry(later_index),)))
     folder.close()
     name = _journals(context.files)[-1]
     data = context.files.data(name)
@@ -237,66 +239,66 @@
     end = read_frame(data, number, start).end
     later_end = read_frame(data, number, end).end
     swapped = data[:start] + data[end:later_end] + data[start:end] + data[later_end:]
-    context.files.put(name, swapped)
+    context.files.replace(name, swapped)
 
 
 @when("a middle segment is deleted in the storage folder")
 def step_delete_middle(context):
-    context.files.lose(_journals(context.files)[1])
+    context.files.delete(_journals(context.files)[1])
 
 
 @when("all segments are deleted in the storage folder")
 def step_delete_all(context):
     for name in _journals(context.files):
-        context.files.lose(name)
+        context.files.delete(name)
 
 
 @when("the snapshot is deleted in the storage folder")
 def step_delete_snapshot(context):
-    context.files.lose(_snapshot(context.files))
+    context.files.delete(_snapshot(context.files))
 
 
 @when("a byte of the snapshot is flipped in the storage folder")
 def step_flip_snapshot(context):
     name = _snapshot(context.files)
-    _flip(context.files, name, len(context.files.data(name)) - 3)
+    _flip_bit(context.files, name, len(context.files.data(name)) - 3)
 
 
-@when("the head of the snapshot is flipped in the storage folder")
+@when("the header of the snapshot is flipped in the storage folder")
 def step_flip_snapshot_head(context):
-    _flip(context.files, _snapshot(context.files), 25)
+    _flip_bit(context.files, _snapshot(context.files), 25)
 
 
 @when("the snapshot comes from another cluster in the storage folder")
 def step_foreign_snapshot(context):
     other = FaultyFiles()
-    _fill(other, cluster="another")
-    context.files.put(_snapshot(context.files), other.data(_snapshot(other)))
+    _create_folder(other, cluster="another")
+    context.files.replace(_snapshot(context.files), other.data(_snapshot(other)))
 
 
 @when("a segment comes from another folder in the storage folder")
 def step_foreign_segment(context):
     other = FaultyFiles()
-    _fill(other)
+    _create_folder(other)
     name = _journals(context.files)[-1]
-    context.files.put(name, other.data(name))
+    context.files.replace(name, other.data(name))
 
 
 @when("the identity is deleted in the storage folder")
 def step_delete_identity(context):
-    context.files.lose("identity")
+    context.files.delete("identity")
 
 
 @when("the identity is flipped in the storage folder")
 def step_flip_identity(context):
-    _flip(context.files, "identity", 30)
+    _flip_bit(context.files, "identity", 30)
 
 
 @when("the identity is of a later format in the storage folder")
 def step_later_format(context):
     frame = read_frame(context.files.data("identity"), 0, 0)
     identity = decode_head(frame.payload, Identity)._replace(format=2)
-    context.files.put("identity", encode_frame(encode_head(identity), 0, 0))
+    context.files.replace("identity", encode_frame(encode_head(identity), 0, 0))
 
 
 @when("the folder is opened for another host in the storage folder")
@@ -318,14 +320,14 @@
         assert exc.name.startswith(file), exc
         assert why in str(exc) and f"at byte {exc.offset}" in str(exc), exc
     else:
-        raise AssertionError("it opened")
-    # Whoever looks at the folder afterwards finds it as it was.
+        raise AssertionError("the storage opened a damaged folder")
+    # A refused folder is left unchanged, so that it can be examined.
     assert before == {name: context.files.data(name) for name in context.files.names()}
 
 
-def _add_tail(context, data):
+def _append(context, data):
     name = _journals(context.files)[-1]
-    context.files.put(name, context.files.data(name) + data)
+    context.files.replace(name, context.files.data(name) + data)
 
 
 @when("half a frame at the end of the storage journal")
@@ -333,26 +335,26 @@
     name = _journals(context.files)[-1]
     size = len(context.files.data(name))
     frame = encode_frame(b"x" * 100, int(name.removeprefix("journal-")), size)
-    _add_tail(context, frame[:60])
+    _append(context, frame[:60])
 
 
 @when("a frame full of zeros at the end of the storage journal")
 def step_zeros(context):
-    _add_tail(context, bytes(100))
+    _append(context, bytes(100))
 
 
-@when("a frame without end at the end of the storage journal")
-def step_without_end(context):
-    _add_tail(context, b"aLd\xa5\xff\xff\xff\x01" + bytes(20))
+@when("an overlong frame at the end of the storage journal")
+def step_overlong_frame(context):
+    _append(context, b"aLd\xa5\xff\xff\xff\x01" + bytes(20))
 
 
 @when("an empty new segment at the end of the storage journal")
 def step_empty_segment(context):
     last = int(_journals(context.files)[-1].removeprefix("journal-"))
-    context.files.put(journal_module.segment_name(last + 1), b"aLd\xa5")
+    context.files.replace(journal_module.segment_name(last + 1), b"aLd\xa5")
 
 
-def _check_40(files):
+def _open_with_40_entries(files):
     folder = DataFolder(files, NAME)
     log = folder.log
     assert (log.base_index, log.last_index) == (20, 40)
@@ -360,25 +362,25 @@
     return folder
 
 
-@then("the storage opens with 40 entries, and cut something off")
-def step_opens_cut(context):
-    folder = _check_40(context.files)
+@then("the storage opens with 40 entries and has truncated bytes")
+def step_truncated(context):
+    folder = _open_with_40_entries(context.files)
     assert folder.truncated_bytes > 0
     folder.write(LogWrite(None, (_entry(41),)))
     folder.close()
-    again = DataFolder(context.files, NAME)
-    assert again.log.last_index == 41 and again.truncated_bytes == 0
+    reopened = DataFolder(context.files, NAME)
+    assert reopened.log.last_index == 41 and reopened.truncated_bytes == 0
 
 
 @when('the storage gets "{error}" from each "{operation}" from now on')
-def step_errors(context, error, operation):
+def step_disk_errors(context, error, operation):
     context.folder = DataFolder(context.files, NAME)
     context.files.error = getattr(errno, error)
     context.files.fail_kind = operation
     context.files.fail_at = 0
 
 
-def _do(folder, what):
+def _run_operation(folder, what):
     match what:
         case "new entries":
             folder.write(LogWrite(None, (_entry(41),)))
@@ -386,47 +388,47 @@
             folder.write(LogWrite(HardState(4, "b"), ()))
         case "a snapshot":
             folder.save_snapshot(30, 1, MEMBERSHIP, b"state of 30")
-        case "a received part":
+        case "a received chunk":
             folder.store_chunk(0, b"part")
         case _:
             raise AssertionError(what)
 
 
-def _raises(folder, what, number):
+def _expect_error(folder, what, number):
     try:
-        _do(folder, what)
+        _run_operation(folder, what)
     except OSError as exc:
         assert exc.errno == number
         return
-    raise AssertionError("no error")
+    raise AssertionError("expected an OSError")
 
 
 @then("the storage raises the error for {what}")
 def step_raises(context, what):
-    _raises(context.folder, what, context.files.error)
+    _expect_error(context.folder, what, context.files.error)
 
 
-@then("the storage writes nothing more, though the disk is well again")
+@then("the storage writes nothing more after the disk has recovered")
 def step_no_more(context):
     context.files.fail_at = -1
     before = context.files.operations
-    for what in ("new entries", "a vote", "a snapshot", "a received part"):
-        _raises(context.folder, what, context.files.error)
+    for what in ("new entries", "a vote", "a snapshot", "a received chunk"):
+        _expect_error(context.folder, what, context.files.error)
     assert context.files.operations == before
 
 
-@then("the storage opens anew with 40 entries")
-def step_opens_anew(context):
+@then("the reopened storage has 40 entries")
+def step_reopened(context):
     context.folder.close()
     context.files.crash()
     folder = DataFolder(context.files, NAME)
-    # What failed was not acknowledged; it may be there or not.
+    # The failed write was not acknowledged; it may be on disk or not.
     assert folder.log.last_index in (40, 41)
     assert folder.hard_state in (HardState(3, "a"), HardState(4, "b"))
 
 
-@when("the storage receives a snapshot whose bytes lack their checksum")
-def step_spoilt(context):
+@when("the storage receives a snapshot with a wrong checksum")
+def step_corrupted_snapshot(context):
     folder = DataFolder(context.files, NAME)
     folder.store_chunk(0, b"spoilt")
     meta = SnapshotMeta(90, 9, MEMBERSHIP, 6, xxh3_128_hexdigest(b"intact"))
@@ -434,10 +436,10 @@
     folder.close()
 
 
-@then("the storage throws it away and opens with 40 entries")
-def step_thrown_away(context):
+@then("the storage discards it and opens with 40 entries")
+def step_discarded(context):
     assert context.storage_installed is False
-    _check_40(context.files)
+    _open_with_40_entries(context.files)
 
 
 @when("two storages open one folder on the real disk")
@@ -460,7 +462,7 @@
     DataFolder(DiskFiles(Path(context.storage_folder.name)), NAME).close()
 
 
-@when("a storage on the real disk takes {count:d} entries with a snapshot each {each:d}")
+@when("a storage on the real disk takes {count:d} entries with a snapshot every {each:d}")
 def step_real_disk(context, count, each):
     _small_segments(context)
     context.storage_folder = tempfile.TemporaryDirectory()
@@ -493,6 +495,6 @@
 def step_files(context, count):
     files = DiskFiles(context.path)
     assert sum(name.startswith("snapshot-") for name in files.names()) == 1
-    # Since the last snapshot so many entries have filled so many segments of 600 bytes.
+    # The entries since the last snapshot fill further segments of 600 bytes.
     assert len(_journals(files)) <= count + 45 * 130 // SEGMENT_BYTES
     context.folder.close()
--- a/features/support/faulty_files.py
+++ b/features/support/faulty_files.py
@@ -1,4 +1,4 @@
-"""An in-memory data folder whose operations can fail, and whose unsynced bytes a crash may take."""
+"""An in-memory data folder with injected errors and crashes that lose unsynced bytes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class CrashError(BaseException):
-    """The process was killed; nothing catches it."""
+    """Simulates a killed process; derived from ``BaseException`` so that no handler catches it."""
 
 
 class _MemoryFile:
@@ -22,16 +22,18 @@
         self._file = file
 
     def write(self, data: bytes) -> None:
-        self._files.operate("write", lambda part: self._put(data[: int(len(data) * part)]))
+        self._files.operate(
+            "write", lambda fraction: self._append(data[: int(len(data) * fraction)])
+        )
 
-    def _put(self, data: bytes) -> None:
+    def _append(self, data: bytes) -> None:
         self._file.data += data
 
     def sync(self) -> None:
         self._files.operate("sync", self._sync)
 
-    def _sync(self, part: float) -> None:
-        if part == 1.0:
+    def _sync(self, fraction: float) -> None:
+        if fraction == 1.0:
             self._file.synced = self._file.data
 
     def close(self) -> None:
@@ -39,10 +41,10 @@
 
 
 class FaultyFiles:
-    """Meets the ``Files`` protocol.
+    """Implements the ``Files`` protocol.
 
-    ``crash_at`` counts the writing operations; the one with that number is done in part, or not
-    at all, and kills the process. ``fail_at`` gives an error instead, from there on.
+    ``crash_at`` is the number of the write operation that is executed partly, fully or not at all
+    and then raises ``CrashError``. From operation ``fail_at`` on, operations raise an ``OSError``.
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -60,7 +62,7 @@
         self.operations += 1
         if self.operations == self.crash_at:
             action(self._random.choice((0.0, 0.5, 0.9, 1.0)))
-            raise CrashError(f"killed in operation {self.operations}, a {kind}")
+            raise CrashError(f"killed in operation {self.operations} ({kind})")
         if 0 <= self.fail_at <= self.operations and self.fail_kind in ("", kind):
             if kind == "write":
                 action(0.5)
@@ -68,7 +70,7 @@
         action(1.0)
 
     def crash(self) -> None:
-        """Keep what is synced, some of the rest, and some of the changes of names."""
+        """Keep synced data, a random part of the unsynced bytes and, at random, unsynced names."""
         self._locked = False
         self.crash_at = self.fail_at = -1
         if self._random.random() < 0.5:
@@ -76,30 +78,30 @@
         for file in self._files.values():
             if not file.data.startswith(file.synced):
                 file.data = self._random.choice((file.data, file.synced))
-            rest = file.data[len(file.synced) :]
-            kept = rest[: self._random.randint(0, len(rest))]
-            if kept and self._random.random() < 0.3:
-                # A page that was never written reads as zeros, though later ones were written.
-                kept = bytes(len(kept) // 2) + kept[len(kept) // 2 :]
-            file.data = file.synced + kept
+            unsynced = file.data[len(file.synced) :]
+            surviving = unsynced[: self._random.randint(0, len(unsynced))]
+            if surviving and self._random.random() < 0.3:
+                # A page that was not written reads as zeros, even if later pages were written.
+                surviving = bytes(len(surviving) // 2) + surviving[len(surviving) // 2 :]
+            file.data = file.synced + surviving
             file.synced = file.data
         self._synced_names = dict(self._files)
 
-    # What the tests spoil
+    # Access for tests that damage files
 
     def data(self, name) -> bytes:
         return self._files[name].data
 
-    def put(self, name, data) -> None:
+    def replace(self, name, data) -> None:
         file = self._files.setdefault(name, _MemoryFile())
         file.data = file.synced = data
         self._synced_names[name] = file
 
-    def lose(self, name) -> None:
+    def delete(self, name) -> None:
         del self._files[name]
         self._synced_names.pop(name, None)
 
-    # The protocol
+    # Files protocol
 
     def names(self):
         return sorted(self._files)
@@ -107,12 +109,12 @@
     def read(self, name):
         return self._files[name].data
 
-    def read_part(self, name, offset, length):
+    def read_range(self, name, offset, length):
         return self._files[name].data[offset : offset + length]
 
     def create(self, name):
-        def create(part):
-            if part == 1.0:
+        def create(fraction):
+            if fraction == 1.0:
                 self._files[name] = _MemoryFile()
 
         self.operate("create", create)
@@ -122,30 +124,30 @@
         return _MemoryAppendFile(self, self._files[name])
 
     def truncate(self, name, size):
-        def truncate(part):
-            if part == 1.0:
+        def truncate(fraction):
+            if fraction == 1.0:
                 file = self._files[name]
                 file.data = file.synced = file.data[:size]
 
         self.operate("truncate", truncate)
 
     def rename(self, name, new_name):
-        def rename(part):
-            if part == 1.0:
+        def rename(fraction):
+            if fraction == 1.0:
                 self._files[new_name] = self._files.pop(name)
 
         self.operate("rename", rename)
 
     def remove(self, name):
-        def remove(part):
-            if part == 1.0:
+        def remove(fraction):
+            if fraction == 1.0:
                 del self._files[name]
 
         self.operate("remove", remove)
 
     def sync_folder(self):
-        def sync(part):
-            if part == 1.0:
+        def sync(fraction):
+            if fraction == 1.0:
                 self._synced_names = dict(self._files)
 
         self.operate("sync_folder", sync)
--- a/features/support/message_records.py
+++ b/features/support/message_records.py
@@ -1,4 +1,4 @@
-"""Messages that the checks are tried on."""
+"""Message types for the tests of message checks."""
 
 from __future__ import annotations
 
--- a/src/alderhatch/clock.py
+++ b/src/alderhatch/clock.py
@@ -1,8 +1,8 @@
-"""The one clock type of the project: milliseconds as a float.
+"""Clocks. Times and durations are milliseconds, as a float.
 
-A point in time is milliseconds since an origin that only the clock knows, so two points of
-different clocks must not be compared. A span is milliseconds too. Code in ``core`` never reads a
-clock: it is handed ``now``.
+A point in time is counted from an origin that is private to its clock, so points in time of
+different clocks must not be compared. Code in ``core`` never reads a clock; it gets ``now`` as an
+argument.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import trio
 
 Millis: TypeAlias = float
-"""A point in time or a span, in milliseconds."""
+"""A point in time or a duration, in milliseconds."""
 
 SECOND: Millis = 1000.0
 MINUTE: Millis = 60 * SECOND
@@ -22,14 +22,14 @@
 
 
 class Clock(Protocol):
-    """What tells the time."""
+    """A source of the current time."""
 
     def now(self) -> Millis:
-        """Return the present point in time, in milliseconds."""
+        """Return the current time in milliseconds."""
 
 
 class LoopClock:
-    """The clock of the running trio loop; virtual where the loop's clock is virtual."""
+    """The clock of the running trio loop, which may be a virtual clock in tests."""
 
     def now(self) -> Millis:
         """Return the loop's time in milliseconds.
@@ -41,7 +41,7 @@
 
 
 class WallClock:
-    """Milliseconds since 1970 UTC, for people to read; it may jump and is never compared."""
+    """Milliseconds since 1970 UTC, for display only: it may jump and must not be compared."""
 
     def now(self) -> Millis:
         """Return the wall clock's time in milliseconds since 1970 UTC."""
@@ -49,28 +49,28 @@
 
 
 class ManualClock:
-    """A clock that stands still until it is told to move."""
+    """A clock that only changes when it is advanced explicitly."""
 
     def __init__(self, start: Millis = 0.0) -> None:
         self._now = start
 
     def now(self) -> Millis:
-        """Return the time that the clock was last moved to."""
+        """Return the time to which the clock was last advanced."""
         return self._now
 
-    def advance(self, span: Millis) -> Millis:
-        """Move the clock on.
+    def advance(self, duration: Millis) -> Millis:
+        """Advance the clock.
 
         Args:
-            span: By how many milliseconds; not negative.
+            duration: Milliseconds to advance by; not negative.
 
         Returns:
             The new time.
 
         Raises:
-            ValueError: If the span is negative.
+            ValueError: If the duration is negative.
         """
-        if span < 0:
-            raise ValueError(f"a clock does not go back: {span}")
-        self._now += span
+        if duration < 0:
+            raise ValueError(f"expected a duration of at least 0 ms, got {duration}")
+        self._now += duration
         return self._now
--- a/src/alderhatch/errors.py
+++ b/src/alderhatch/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the one table from kind to answer.
+"""The error catalogue: all error kinds and the response for each of them.
 
-Every refusal or failure that a caller, an operator or a process of ours is shown has one of these
-kinds. The table says which HTTP status goes with it, whether the request ran, and whether to send
-it again, and where to.
+Every error that is returned to a caller, an operator or another alderhatch process has one of these
+kinds. The catalogue defines its HTTP status, whether the request ran, and whether and where to
+resend it.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 
 class RunStatus(StrEnum):
-    """Whether any upstream began to run the request."""
+    """Whether an upstream started to run the request."""
 
     NOT_RUN = "not_run"
-    """True without exception: no byte of it reached an upstream that did not refuse it."""
+    """Guaranteed: no byte of the request reached an upstream, except servers that rejected it."""
     RAN = "ran"
     UNKNOWN = "unknown"
 
 
 class Resend(StrEnum):
-    """What a caller should do with a failed request."""
+    """Whether and where a caller should resend a failed request."""
 
     NEVER = "never"
-    """The same request fails again."""
+    """Do not resend; the same request fails again."""
     SAME_ENTRY = "same_entry"
-    """Send it again to the same address after ``retry_after_ms``."""
+    """Resend to the same address after ``retry_after_ms``."""
     OTHER_ENTRY = "other_entry"
-    """Send it to another of the addresses now."""
+    """Resend to another address immediately."""
     SAME_ID = "same_id"
-    """Ask again with the same request id, at any entry; it will not run twice."""
+    """Resend with the same request ID to any entry; the request does not run twice."""
 
 
 class ErrorKind(StrEnum):
-    """Every way in which a request, a change or a message can fail."""
+    """All kinds of errors of requests, changes and messages."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -74,40 +74,43 @@
 
 
 class ErrorAnswer(NamedTuple):
-    """How one kind of error is told to whoever asked."""
+    """The response for one kind of error."""
 
     status: int
     """The HTTP status."""
     ran: RunStatus
     resend: Resend
     meaning: str
-    """One sentence for the person who reads it."""
+    """Description in one sentence."""
 
 
 ERROR_ANSWERS: dict[ErrorKind, ErrorAnswer] = {
     ErrorKind.BAD_REQUEST: ErrorAnswer(
-        400, RunStatus.NOT_RUN, Resend.NEVER, "A field is missing, unknown or out of its range."
+        400, RunStatus.NOT_RUN, Resend.NEVER, "A field is missing, unknown or out of range."
     ),
     ErrorKind.TOO_LARGE: ErrorAnswer(
-        413, RunStatus.NOT_RUN, Resend.NEVER, "The head or the body is larger than the limit."
+        413, RunStatus.NOT_RUN, Resend.NEVER, "The header or the body exceeds the size limit."
     ),
     ErrorKind.TOO_SLOW: ErrorAnswer(
-        408, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "The request did not arrive whole in time."
+        408,
+        RunStatus.NOT_RUN,
+        Resend.SAME_ENTRY,
+        "The request was not received completely within the time limit.",
     ),
     ErrorKind.NOT_FOUND: ErrorAnswer(
-        404, RunStatus.NOT_RUN, Resend.NEVER, "There is nothing under this path or name."
+        404, RunStatus.NOT_RUN, Resend.NEVER, "No resource has this path or name."
     ),
     ErrorKind.UNAUTHORIZED: ErrorAnswer(
-        401, RunStatus.NOT_RUN, Resend.NEVER, "The key is missing or not known."
+        401, RunStatus.NOT_RUN, Resend.NEVER, "The key is missing or unknown."
     ),
     ErrorKind.FORBIDDEN: ErrorAnswer(
-        403, RunStatus.NOT_RUN, Resend.NEVER, "The key does not have the role that this needs."
+        403, RunStatus.NOT_RUN, Resend.NEVER, "The key lacks the role that is required."
     ),
     ErrorKind.REFUSED_BY_RULE: ErrorAnswer(
-        403, RunStatus.NOT_RUN, Resend.NEVER, "The first rule that matches the request refuses it."
+        403, RunStatus.NOT_RUN, Resend.NEVER, "The first rule that matches the request rejects it."
     ),
     ErrorKind.UNKNOWN_UPSTREAM: ErrorAnswer(
-        404, RunStatus.NOT_RUN, Resend.NEVER, "No upstream of this name is configured."
+        404, RunStatus.NOT_RUN, Resend.NEVER, "No upstream with this name is configured."
     ),
     ErrorKind.NO_SNAPSHOT: ErrorAnswer(
         503,
@@ -119,119 +122,143 @@
         503,
         RunStatus.NOT_RUN,
         Resend.OTHER_ENTRY,
-        "This node has not learnt its configuration yet.",
+        "This node has not received a configuration yet.",
     ),
     ErrorKind.NOT_SERVING: ErrorAnswer(
         503,
         RunStatus.NOT_RUN,
         Resend.OTHER_ENTRY,
-        "This node stands by, and reaches none that serves.",
+        "This node is on standby and can reach no active host.",
     ),
     ErrorKind.CALLER_LIMIT: ErrorAnswer(
-        429, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "The caller, or its rule, is over its rate."
+        429,
+        RunStatus.NOT_RUN,
+        Resend.SAME_ENTRY,
+        "The caller or its rule exceeds its request rate limit.",
     ),
     ErrorKind.OVERLOADED: ErrorAnswer(
         503,
         RunStatus.NOT_RUN,
         Resend.SAME_ENTRY,
-        "The queue is full, or its wait outlasts the deadline.",
+        "The queue is full or its wait would exceed the deadline.",
     ),
     ErrorKind.DEADLINE_TOO_SHORT: ErrorAnswer(
-        504, RunStatus.NOT_RUN, Resend.NEVER, "The deadline cannot be met, so nothing was sent."
+        504, RunStatus.NOT_RUN, Resend.NEVER, "The deadline can't be met, so nothing was sent."
     ),
     ErrorKind.LEASE_EXPIRED: ErrorAnswer(
-        503, RunStatus.NOT_RUN, Resend.OTHER_ENTRY, "This entry is cut off from control."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.OTHER_ENTRY,
+        "The lease of this entry has expired: it can't reach control.",
     ),
     ErrorKind.STOPPING: ErrorAnswer(
         503,
         RunStatus.NOT_RUN,
         Resend.OTHER_ENTRY,
-        "This entry is stopping and takes no new request.",
+        "This entry is shutting down and accepts no new requests.",
     ),
     ErrorKind.QUARANTINED: ErrorAnswer(
-        422, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "Requests with this body crashed upstreams."
+        422, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "Requests with this body crashed servers."
     ),
     ErrorKind.LEDGER_UNAVAILABLE: ErrorAnswer(
         503, RunStatus.NOT_RUN, Resend.SAME_ID, "The run ledger could not record the claim."
     ),
     ErrorKind.REQUEST_ID_REUSED: ErrorAnswer(
-        409, RunStatus.NOT_RUN, Resend.NEVER, "The request id was used before with another body."
+        409, RunStatus.NOT_RUN, Resend.NEVER, "The request ID was already used with another body."
     ),
     ErrorKind.REQUEST_ID_TOO_OLD: ErrorAnswer(
-        410, RunStatus.UNKNOWN, Resend.NEVER, "The request id is older than what the ledger keeps."
+        410,
+        RunStatus.UNKNOWN,
+        Resend.NEVER,
+        "The request ID is older than the retention of the ledger.",
     ),
     ErrorKind.IN_PROGRESS: ErrorAnswer(
-        409, RunStatus.UNKNOWN, Resend.SAME_ID, "An earlier sending of this request still runs."
+        409,
+        RunStatus.UNKNOWN,
+        Resend.SAME_ID,
+        "An earlier attempt of this request is still running.",
     ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
-        504, RunStatus.UNKNOWN, Resend.NEVER, "The request may have run; its answer was lost."
+        504, RunStatus.UNKNOWN, Resend.NEVER, "The request may have run, but its answer was lost."
     ),
     ErrorKind.COVERAGE_TOO_LOW: ErrorAnswer(
         504,
         RunStatus.RAN,
         Resend.SAME_ENTRY,
-        "The answer covers less than the least that was asked for.",
+        "The coverage of the answer is below the requested minimum.",
     ),
     ErrorKind.UPSTREAM_REFUSED: ErrorAnswer(
-        503, RunStatus.NOT_RUN, Resend.SAME_ENTRY, "Every server that could run it refused to."
+        503,
+        RunStatus.NOT_RUN,
+        Resend.SAME_ENTRY,
+        "Every server that could run the request rejected it.",
     ),
     ErrorKind.UPSTREAM_FAILED: ErrorAnswer(
-        502, RunStatus.RAN, Resend.NEVER, "The upstream ran it and answered that it failed."
+        502, RunStatus.RAN, Resend.NEVER, "The upstream ran the request and returned an error."
     ),
     ErrorKind.REVISION_CONFLICT: ErrorAnswer(
         409,
         RunStatus.NOT_RUN,
         Resend.NEVER,
-        "The configuration is at another revision than expected.",
+        "The configuration does not have the expected revision.",
     ),
     ErrorKind.INVALID_CHANGE: ErrorAnswer(
-        422, RunStatus.NOT_RUN, Resend.NEVER, "The change does not fit the state or breaks a check."
+        422,
+        RunStatus.NOT_RUN,
+        Resend.NEVER,
+        "The change conflicts with the current state or fails a check.",
     ),
     ErrorKind.STOP_REFUSED: ErrorAnswer(
         409,
         RunStatus.NOT_RUN,
         Resend.NEVER,
-        "The stop would take the quorum or a zone's last entry.",
+        "Stopping would lose the quorum or the last entry of a zone.",
     ),
     ErrorKind.NO_LEADER: ErrorAnswer(
         503,
         RunStatus.NOT_RUN,
         Resend.OTHER_ENTRY,
-        "This control host knows no leader with a quorum.",
+        "This control host knows no leader that has a quorum.",
     ),
     ErrorKind.CHANGE_UNKNOWN: ErrorAnswer(
-        504, RunStatus.UNKNOWN, Resend.SAME_ID, "The change may be accepted; resend it with its id."
+        504,
+        RunStatus.UNKNOWN,
+        Resend.SAME_ID,
+        "The change may be accepted; resend it with the same ID.",
     ),
     ErrorKind.STORAGE_FAILED: ErrorAnswer(
-        507, RunStatus.UNKNOWN, Resend.SAME_ID, "The disk of the control host failed or is full."
+        507,
+        RunStatus.UNKNOWN,
+        Resend.SAME_ID,
+        "The disk of the control host has failed or is full.",
     ),
     ErrorKind.INTERNAL: ErrorAnswer(
-        500, RunStatus.UNKNOWN, Resend.NEVER, "A fault of alderhatch itself; it is in the log."
+        500, RunStatus.UNKNOWN, Resend.NEVER, "Internal error in alderhatch; see the log."
     ),
 }
-"""The table from error kind to answer. It has a row for every kind."""
+"""The error catalogue; it has one row for each error kind."""
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """The tagged outcome of anything that failed."""
+    """An error with its kind and details."""
 
     kind: ErrorKind
     message: str
-    """What exactly is wrong, naming the field or object."""
+    """What is wrong, naming the field or object."""
     field: str | None = None
-    """The field that is at fault, as a dotted path, if one is."""
+    """Dotted path of the invalid field, if there is one."""
     retry_after_ms: Millis | None = None
-    """When to come back, for kinds whose answer says to send it again."""
+    """Delay before a resend, for kinds whose answer advises one."""
 
     @property
     def answer(self) -> ErrorAnswer:
-        """The table's row for this kind."""
+        """The row of the error catalogue for this kind."""
         return ERROR_ANSWERS[self.kind]
 
 
 class AlderhatchError(Exception):
-    """A failure on its way up to whoever turns it into an answer."""
+    """Exception that carries a ``Failure`` to the code that turns it into a response."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(f"{failure.kind}: {failure.message}")
--- a/src/alderhatch/link.py
+++ b/src/alderhatch/link.py
@@ -1,7 +1,7 @@
-"""Authenticated links between our own processes: websockets with CBOR.
+"""Authenticated links between alderhatch processes: CBOR messages over WebSocket.
 
-Both ends prove that they hold the shared secret by a keyed hash over two fresh nonces, so that an
-overheard exchange can't be sent again. The secret itself never crosses the link.
+Each end proves that it holds the shared secret with an HMAC over two fresh nonces, so that a
+recorded handshake can't be replayed. The secret itself is never sent.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 
 class Peer(NamedTuple):
-    """Who is at the other end of a link, as proved by the shared secret."""
+    """Name and role of one end of a link, authenticated with the shared secret."""
 
     name: str
-    """The process's identity from its settings."""
+    """Name of the process from its settings."""
     role: str
-    """``entry``, ``control`` or another role that the protocol knows."""
+    """``entry``, ``control`` or another role of the protocol."""
 
 
 class _Challenge(NamedTuple):
@@ -53,21 +53,21 @@
     mac: bytes
 
 
-_OPENING = Codec(_Challenge, _Proof, _Welcome)
+_HANDSHAKE = Codec(_Challenge, _Proof, _Welcome)
 
 
 class LinkClosedError(Exception):
-    """The link is gone; what was sent last may or may not have arrived."""
+    """The link is closed; the last messages may not have been delivered."""
 
 
 class Link:
-    """One open, authenticated link that carries whole messages in order."""
+    """An open, authenticated link that transfers messages in order."""
 
     def __init__(self, conn: ClientConnection | ServerConnection, codec: Codec, peer: Peer) -> None:
         self._conn = conn
         self._codec = codec
         self.peer = peer
-        """Who is at the other end."""
+        """The other end of the link."""
         self.sent_bytes = 0
         """Payload bytes sent so far."""
         self.received_bytes = 0
@@ -77,19 +77,19 @@
         """Send one message.
 
         Raises:
-            LinkClosedError: If the link is gone.
+            LinkClosedError: If the link is closed.
         """
         await self.send_encoded(self.encode(message))
 
     def encode(self, message: tuple[Any, ...]) -> bytes:
-        """Return the bytes of a message, for links of the same protocol to be sent over."""
+        """Encode a message that is to be sent over several links of the same protocol."""
         return self._codec.encode(message)
 
     async def send_encoded(self, data: bytes) -> None:
-        """Send a message that is encoded already.
+        """Send an encoded message.
 
         Raises:
-            LinkClosedError: If the link is gone.
+            LinkClosedError: If the link is closed.
         """
         try:
             await self._conn.send(data)
@@ -101,7 +101,7 @@
         """Wait for the next message.
 
         Raises:
-            LinkClosedError: If the link is gone, or the peer sent what is no message.
+            LinkClosedError: If the link is closed, or the peer sent an invalid message.
         """
         try:
             data = await self._conn.recv()
@@ -118,7 +118,7 @@
             raise LinkClosedError(str(exc)) from exc
 
     async def aclose(self) -> None:
-        """Close the link; a second call does nothing."""
+        """Close the link; further calls have no effect."""
         with trio.move_on_after(1):
             await self._conn.aclose()
 
@@ -128,22 +128,24 @@
     return hmac.digest(secret, text, "sha256")
 
 
-async def _receive_opening(conn: ClientConnection | ServerConnection) -> Any:
+async def _receive_handshake(conn: ClientConnection | ServerConnection) -> Any:
     data = await conn.recv()
-    return _OPENING.decode(data.encode() if isinstance(data, str) else bytes(data))
+    return _HANDSHAKE.decode(data.encode() if isinstance(data, str) else bytes(data))
 
 
-async def _accept(conn: ServerConnection, secret: bytes, me: Peer) -> Peer | None:
+async def _authenticate_client(
+    conn: ServerConnection, secret: bytes, local_peer: Peer
+) -> Peer | None:
     nonce = os.urandom(NONCE_BYTES)
-    await conn.send(_OPENING.encode(_Challenge(nonce)))
-    proof = await _receive_opening(conn)
+    await conn.send(_HANDSHAKE.encode(_Challenge(nonce)))
+    proof = await _receive_handshake(conn)
     if not isinstance(proof, _Proof):
         return None
     parts = (nonce, proof.nonce, proof.name.encode(), proof.role.encode())
     if not hmac.compare_digest(proof.mac, _mac(secret, b"client", *parts)):
         return None
-    mac = _mac(secret, b"server", *parts, me.name.encode(), me.role.encode())
-    await conn.send(_OPENING.encode(_Welcome(me.name, me.role, mac)))
+    mac = _mac(secret, b"server", *parts, local_peer.name.encode(), local_peer.role.encode())
+    await conn.send(_HANDSHAKE.encode(_Welcome(local_peer.name, local_peer.role, mac)))
     return Peer(proof.name, proof.role)
 
 
@@ -151,22 +153,23 @@
     listeners: list[trio.SocketListener],
     codec: Codec,
     secret: bytes,
-    me: Peer,
+    local_peer: Peer,
     handler: Callable[[Link], Awaitable[None]],
     max_links: int = 1024,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Accept links until cancelled, with one handler call for each.
+    """Accept links until cancelled and call the handler for each of them.
 
     Args:
-        listeners: Open listening sockets; their ports may be chosen by the kernel.
-        codec: The protocol's messages.
-        secret: The secret that both ends share.
-        me: How this end names itself.
-        handler: Runs for as long as the link is used; ``LinkClosedError`` ends it quietly.
-        max_links: More open links than this are refused, so that a fault of a peer that opens
-            ever more of them can't use up this process's memory.
-        task_status: Told when links are accepted.
+        listeners: Open listening sockets; the kernel may have chosen their ports.
+        codec: Codec of the protocol.
+        secret: Shared secret of both ends.
+        local_peer: Name and role of this end.
+        handler: Runs until the link is no longer used; ``LinkClosedError`` ends it without a log
+            event.
+        max_links: Maximum number of open links; further ones are refused, so that a faulty peer
+            that keeps opening links can't exhaust the memory of this process.
+        task_status: Started when links are accepted.
     """
     open_links = 0
 
@@ -177,7 +180,7 @@
             return
         open_links += 1
         try:
-            await _serve_one(conn, codec, secret, me, handler)
+            await _serve_one(conn, codec, secret, local_peer, handler)
         finally:
             open_links -= 1
 
@@ -202,13 +205,13 @@
     conn: ServerConnection,
     codec: Codec,
     secret: bytes,
-    me: Peer,
+    local_peer: Peer,
     handler: Callable[[Link], Awaitable[None]],
 ) -> None:
     peer: Peer | None = None
     try:
         with trio.move_on_after(OPEN_TIMEOUT / SECOND):
-            peer = await _accept(conn, secret, me)
+            peer = await _authenticate_client(conn, secret, local_peer)
         if peer is None:
             log_event(LogEvent.LINK_REFUSED, remote=str(conn.remote_address))
             return
@@ -221,16 +224,16 @@
 
 @asynccontextmanager
 async def open_link(
-    host: str, port: int, codec: Codec, secret: bytes, me: Peer
+    host: str, port: int, codec: Codec, secret: bytes, local_peer: Peer
 ) -> AsyncIterator[Link]:
-    """Open a link to a process of ours for the length of an ``async with`` block.
+    """Open a link to another alderhatch process for the duration of an ``async with`` block.
 
     Args:
         host: An IP address.
         port: A TCP port.
-        codec: The protocol's messages.
-        secret: The secret that both ends share.
-        me: How this end names itself.
+        codec: Codec of the protocol.
+        secret: Shared secret of both ends.
+        local_peer: Name and role of this end.
 
     Yields:
         The open link.
@@ -238,11 +241,11 @@
     Raises:
         LinkClosedError: If the peer can't be reached in time or lacks the shared secret.
     """
-    where = f"{host}:{port}"
+    address = f"{host}:{port}"
     opened = False
     try:
         async with connect(
-            f"ws://{where}/",
+            f"ws://{address}/",
             compression=None,
             user_agent_header=None,
             proxy=None,
@@ -252,16 +255,16 @@
             max_size=MAX_MESSAGE_BYTES,
         ) as conn:
             with trio.fail_after(OPEN_TIMEOUT / SECOND):
-                peer = await _introduce(conn, secret, me)
+                peer = await _authenticate_to_server(conn, secret, local_peer)
             opened = True
             yield Link(conn, codec, peer)
-    except _OPENING_FAULTS as exc:
+    except _HANDSHAKE_ERRORS as exc:
         if opened:
             raise
-        raise LinkClosedError(f"{where}: {exc}") from exc
+        raise LinkClosedError(f"{address}: {exc}") from exc
 
 
-_OPENING_FAULTS = (
+_HANDSHAKE_ERRORS = (
     OSError,
     ConnectionClosed,
     InvalidHandshake,
@@ -272,23 +275,25 @@
 )
 
 
-async def _introduce(conn: ClientConnection, secret: bytes, me: Peer) -> Peer:
-    challenge = await _receive_opening(conn)
+async def _authenticate_to_server(conn: ClientConnection, secret: bytes, local_peer: Peer) -> Peer:
+    challenge = await _receive_handshake(conn)
     if not isinstance(challenge, _Challenge):
-        raise _not_authentic("the peer sent no challenge")
+        raise _unauthorized("expected a challenge from the peer")
     nonce = os.urandom(NONCE_BYTES)
-    parts = (challenge.nonce, nonce, me.name.encode(), me.role.encode())
+    parts = (challenge.nonce, nonce, local_peer.name.encode(), local_peer.role.encode())
     await conn.send(
-        _OPENING.encode(_Proof(me.name, me.role, nonce, _mac(secret, b"client", *parts)))
+        _HANDSHAKE.encode(
+            _Proof(local_peer.name, local_peer.role, nonce, _mac(secret, b"client", *parts))
+        )
     )
-    welcome = await _receive_opening(conn)
+    welcome = await _receive_handshake(conn)
     if not isinstance(welcome, _Welcome):
-        raise _not_authentic("the peer sent no welcome")
+        raise _unauthorized("expected a welcome from the peer")
     mac = _mac(secret, b"server", *parts, welcome.name.encode(), welcome.role.encode())
     if not hmac.compare_digest(welcome.mac, mac):
-        raise _not_authentic("the peer does not hold the shared secret")
+        raise _unauthorized("the peer does not hold the shared secret")
     return Peer(welcome.name, welcome.role)
 
 
-def _not_authentic(message: str) -> AlderhatchError:
+def _unauthorized(message: str) -> AlderhatchError:
     return AlderhatchError(Failure(ErrorKind.UNAUTHORIZED, message))
--- a/src/alderhatch/log.py
+++ b/src/alderhatch/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, each with the number of its event."""
+"""Structured logs: one JSON object per line, with the number of the event."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 def set_up_bounded_logs(
     program: str, fd: int, level: int = logging.INFO, host: str = ""
 ) -> BoundedLogHandler:
-    """Send the project's events to a descriptor as JSON lines, without ever waiting for it.
+    """Write log events to a file descriptor as JSON lines, without ever blocking.
 
     Args:
-        program: The name of the program, put on each line.
-        fd: Where to.
-        level: The lowest level that is written.
-        host: The name of the host, put on each line if it is known.
+        program: Name of the program, added to each line.
+        fd: File descriptor to write to.
+        level: Lowest level that is logged.
+        host: Name of the host, added to each line if not empty.
 
     Returns:
-        The handler, which counts what was dropped.
+        The handler, which counts dropped lines.
     """
     handler = BoundedLogHandler(fd)
-    _use(handler, program, level, host)
+    _install_handler(handler, program, level, host)
     return handler
 
 
 def set_up_logs(program: str, level: int = logging.INFO, stream: TextIO | None = None) -> None:
-    """Send the project's events to a stream as JSON lines.
+    """Write log events to a stream as JSON lines.
 
     Args:
-        program: The name of the program, put on each line.
-        level: The lowest level that is written.
-        stream: Where to; standard error if none is given.
+        program: Name of the program, added to each line.
+        level: Lowest level that is logged.
+        stream: Stream to write to; standard error by default.
     """
-    _use(logging.StreamHandler(stream or sys.stderr), program, level)
+    _install_handler(logging.StreamHandler(stream or sys.stderr), program, level)
 
 
-def _use(handler: logging.Handler, program: str, level: int, host: str = "") -> None:
+def _install_handler(handler: logging.Handler, program: str, level: int, host: str = "") -> None:
     formatter = JsonFormatter(
         "%(asctime)s %(levelname)s %(message)s",
         rename_fields={"asctime": "time", "levelname": "level", "message": "event"},
@@ -57,12 +57,12 @@
 
 
 def log_event(event: LogEvent, exc: BaseException | None = None, **fields: object) -> None:
-    """Write one numbered event.
+    """Log an event.
 
     Args:
-        event: What happened, from the catalogue.
-        exc: The exception whose traceback goes with it, if any.
-        **fields: What it happened to. Secrets and request bodies do not belong here.
+        event: Event from the catalogue.
+        exc: Exception whose traceback is logged with the event, if any.
+        **fields: Details of the event. Must not contain secrets or request bodies.
     """
     row = event.value
     if not _LOGGER.isEnabledFor(row.level):
--- a/src/alderhatch/loop_tasks.py
+++ b/src/alderhatch/loop_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are started from plain functions and belong to one object."""
+"""Background tasks of an object, started from synchronous functions."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class LoopTasks:
-    """Keeps the tasks of one object while it runs."""
+    """Runs the background tasks of one object in a nursery."""
 
     def __init__(self) -> None:
         self._nursery: trio.Nursery | None = None
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Keep the tasks until cancelled."""
+        """Run the tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             try:
                 await trio.sleep_forever()
             finally:
-                # What is still asked for while the process goes down has no task any more.
+                # Tasks that are requested during shutdown are not started.
                 self._nursery = None
 
     @property
@@ -33,6 +33,6 @@
         return self._nursery is not None
 
     def start(self, task: Callable[[*Args], Awaitable[object]], *args: *Args) -> None:
-        """Start a task; does nothing while this does not run."""
+        """Start a task; does nothing unless ``run`` is active."""
         if self._nursery is not None:
             self._nursery.start_soon(task, *args)
--- a/src/alderhatch/message_check.py
+++ b/src/alderhatch/message_check.py
@@ -1,7 +1,7 @@
 """Checks decoded messages against the annotations of their types.
 
-A message is a ``NamedTuple`` and comes in as an array. Only the types that messages are made of are
-known here; every process holds the checks of all its messages, so they are kept small.
+A message is a ``NamedTuple`` and is received as an array. Only the types that messages use are
+supported. Every process keeps the checks of all its messages in memory, so they are small closures.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from typing import Any, TypeAlias, Union, get_args, get_origin, get_type_hints
 
 Check: TypeAlias = Callable[[Any], Any]
-"""Takes a decoded value and returns it as the annotated type; raises ``MessageError``."""
+"""Converts a decoded value to the annotated type; raises ``MessageError`` if it does not match."""
 
 
 class MessageError(Exception):
-    """A value is not of the annotated type."""
+    """A value does not match the annotated type."""
 
     def __init__(self, message: str, field_path: str = "") -> None:
         super().__init__(message)
         self.message = message
         self.field_path = field_path
-        """The dotted path of the field, from the message on."""
+        """Dotted path of the field within the message."""
 
-    def inside(self, name: str | int) -> MessageError:
-        """Return the same error as seen from one level further out."""
+    def nested_in(self, name: str | int) -> MessageError:
+        """Return the same error with a path that starts at the enclosing field."""
         field_path = f"{name}.{self.field_path}" if self.field_path else str(name)
         return MessageError(self.message, field_path)
 
 
-_PLAIN: dict[Any, tuple[type, ...]] = {
+_SCALAR_TYPES: dict[Any, tuple[type, ...]] = {
     int: (int,),
     float: (float, int),
     str: (str,),
@@ -40,20 +40,20 @@
 
 
 def build_check(annotation: Any) -> Check:
-    """Return the check for a type.
+    """Build the check for a type.
 
     Raises:
-        TypeError: If messages can't be made of such a type.
+        TypeError: If the type is not supported in messages.
     """
     if annotation is Any:
         return lambda value: value
-    if annotation in _PLAIN:
-        return _plain(annotation)
+    if annotation in _SCALAR_TYPES:
+        return _scalar(annotation)
     if annotation in (None, types.NoneType):
         return _none
     origin = get_origin(annotation)
     if origin in (Union, types.UnionType):
-        return _either([build_check(one) for one in get_args(annotation)])
+        return _union([build_check(argument) for argument in get_args(annotation)])
     if origin is list:
         return _sequence(build_check(get_args(annotation)[0]), list)
     if origin is tuple and get_args(annotation)[1:] == (...,):
@@ -65,15 +65,15 @@
         return _enum(annotation)
     if isinstance(annotation, type) and hasattr(annotation, "_fields"):
         return _named_tuple(annotation)
-    raise TypeError(f"no check for {annotation!r}")
+    raise TypeError(f"unsupported type in a message: {annotation!r}")
 
 
-def _plain(wanted: type) -> Check:
-    allowed = _PLAIN[wanted]
+def _scalar(expected: type) -> Check:
+    allowed = _SCALAR_TYPES[expected]
 
     def check(value: Any) -> Any:
-        if not isinstance(value, allowed) or (isinstance(value, bool) and wanted is not bool):
-            raise MessageError(f"{wanted.__name__} is wanted")
+        if not isinstance(value, allowed) or (isinstance(value, bool) and expected is not bool):
+            raise MessageError(f"{expected.__name__} is wanted")
         return value
 
     return check
@@ -84,14 +84,14 @@
         raise MessageError("nothing is wanted")
 
 
-def _either(checks: list[Check]) -> Check:
+def _union(checks: list[Check]) -> Check:
     def check(value: Any) -> Any:
         error: MessageError | None = None
-        for one in checks:
+        for candidate in checks:
             try:
-                return one(value)
+                return candidate(value)
             except MessageError as exc:
-                # The error of the type that got furthest tells most.
+                # Report the error with the longest path: its type matched the most.
                 if error is None or len(exc.field_path) > len(error.field_path):
                     error = exc
         raise error or MessageError("no type fits")
@@ -99,17 +99,17 @@
     return check
 
 
-def _sequence(item: Check, make: type[Any]) -> Check:
+def _sequence(item: Check, container: type[Any]) -> Check:
     def check(value: Any) -> Any:
         if not isinstance(value, (list, tuple)):
             raise MessageError("an array is wanted")
         items = []
-        for index, one in enumerate(value):
+        for index, element in enumerate(value):
             try:
-                items.append(item(one))
+                items.append(item(element))
             except MessageError as exc:
-                raise exc.inside(index) from exc
-        return make(items)
+                raise exc.nested_in(index) from exc
+        return container(items)
 
     return check
 
@@ -118,39 +118,39 @@
     def check(value: Any) -> Any:
         if not isinstance(value, dict):
             raise MessageError("a map is wanted")
-        return {key(name): item(one) for name, one in value.items()}
+        return {key(name): item(element) for name, element in value.items()}
 
     return check
 
 
-def _enum(wanted: type[Enum]) -> Check:
+def _enum(expected: type[Enum]) -> Check:
     def check(value: Any) -> Any:
         try:
-            return wanted(value)
+            return expected(value)
         except ValueError as exc:
-            raise MessageError(f"no {wanted.__name__}") from exc
+            raise MessageError(f"no {expected.__name__}") from exc
 
     return check
 
 
-def _named_tuple(wanted: type[Any]) -> Check:
-    hints = get_type_hints(wanted)
-    fields = [(name, build_check(hints[name])) for name in wanted._fields]
-    needed = len(fields) - len(wanted._field_defaults)
+def _named_tuple(expected: type[Any]) -> Check:
+    hints = get_type_hints(expected)
+    fields = [(name, build_check(hints[name])) for name in expected._fields]
+    required_count = len(fields) - len(expected._field_defaults)
 
     def check(value: Any) -> Any:
         if not isinstance(value, (list, tuple)):
             raise MessageError("an array is wanted")
         if len(value) > len(fields):
             raise MessageError(f"at most {len(fields)} fields are wanted")
-        if len(value) < needed:
+        if len(value) < required_count:
             raise MessageError("the field is missing", fields[len(value)][0])
         items = []
-        for (name, field), one in zip(fields, value, strict=False):
+        for (name, field), element in zip(fields, value, strict=False):
             try:
-                items.append(field(one))
+                items.append(field(element))
             except MessageError as exc:
-                raise exc.inside(name) from exc
-        return wanted(*items)
+                raise exc.nested_in(name) from exc
+        return expected(*items)
 
     return check
--- a/src/alderhatch/metric_catalogue.py
+++ b/src/alderhatch/metric_catalogue.py
@@ -1,7 +1,7 @@
-"""The closed catalogue of metrics.
+"""The catalogue of metrics.
 
-docs/METRICS.md shows the same list and a test compares the two. Another test makes sure that each
-metric is set somewhere in the code.
+A test compares docs/METRICS.md with this list. Another test checks that the code updates each
+metric.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 
 class MetricKind(StrEnum):
-    """How a metric moves."""
+    """Type of a metric."""
 
     COUNTER = "counter"
-    """Only goes up while the process runs."""
+    """Never decreases while the process runs."""
     GAUGE = "gauge"
     HISTOGRAM = "histogram"
 
 
 class Unit(StrEnum):
-    """What a metric counts in."""
+    """Unit of a metric."""
 
     ONE = "1"
     SECONDS = "seconds"
@@ -29,7 +29,7 @@
 
 
 class MetricRow(NamedTuple):
-    """What the catalogue says about one metric."""
+    """Catalogue row of a metric."""
 
     name: str
     kind: MetricKind
@@ -39,19 +39,19 @@
 
 
 class Metric(Enum):
-    """Every metric that a process of alderhatch may show."""
+    """All metrics that alderhatch processes export."""
 
     PROCESS_CPU = MetricRow(
         "alderhatch_process_cpu_seconds_total",
         MetricKind.COUNTER,
         Unit.SECONDS,
-        "Processor time that the process has used, of user and system together.",
+        "User and system CPU time used by the process.",
     )
     PROCESS_MEMORY = MetricRow(
         "alderhatch_process_max_resident_bytes",
         MetricKind.GAUGE,
         Unit.BYTES,
-        "The most memory that the process has held so far.",
+        "Maximum resident memory of the process.",
     )
     PROCESS_UPTIME = MetricRow(
         "alderhatch_process_uptime_seconds",
@@ -63,29 +63,29 @@
         "alderhatch_node_requests_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Requests of callers; outcome is complete, partial, or the reason of a refusal or failure.",
+        "Requests of callers; outcome is complete, partial or the reason of a refusal or failure.",
         ("route", "outcome"),
     )
     NODE_HANDED_OVER = MetricRow(
         "alderhatch_node_handed_over_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Requests that this node, as it stands by, had another one answer; outcome is answered, or"
-        " why not.",
+        "Requests that this node handed over to another node while on standby; outcome is answered"
+        " or the reason of a failure.",
         ("outcome",),
     )
     NODE_DURATION = MetricRow(
         "alderhatch_node_request_duration_seconds",
         MetricKind.HISTOGRAM,
         Unit.SECONDS,
-        "From a request's last byte until its answer is ready, for requests that were answered.",
+        "Time from the last byte of a request until its answer is ready, for answered requests.",
         ("route",),
     )
     NODE_COVERAGE = MetricRow(
         "alderhatch_node_coverage",
         MetricKind.HISTOGRAM,
         Unit.FRACTION,
-        "The share of the shards in the answers of routes that go to all shards.",
+        "Coverage of answers: fraction of the shards, for routes that query all shards.",
         ("route",),
     )
     NODE_SENDS = MetricRow(
@@ -99,14 +99,14 @@
         "alderhatch_node_faults_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Requests to servers that came to nothing, by the kind of fault.",
+        "Failed requests to servers, by kind of fault.",
         ("fault",),
     )
     NODE_BUDGET_REFUSED = MetricRow(
         "alderhatch_node_budget_refused_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Hedges and retries that were not sent because the budget was used up.",
+        "Hedges and retries that were not sent because the budget was exhausted.",
     )
     NODE_SERVERS = MetricRow(
         "alderhatch_node_servers",
@@ -119,43 +119,43 @@
         "alderhatch_node_requests_running",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Requests that are being answered.",
+        "Requests in progress.",
     )
     NODE_HOSTS = MetricRow(
         "alderhatch_node_hosts",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Live hosts of the tier by the leader's last word.",
+        "Live hosts of the tier according to the last update from the leader.",
     )
     NODE_CONFIGURATION = MetricRow(
         "alderhatch_node_configuration",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The number of the configuration that the node serves by.",
+        "Number of the configuration that the node uses.",
     )
     NODE_LIST_AGE = MetricRow(
         "alderhatch_node_list_age_seconds",
         MetricKind.GAUGE,
         Unit.SECONDS,
-        "How long ago the list of servers was known to be fresh.",
+        "Time since the server list was last known to be current.",
     )
     NODE_LEADER_SILENCE = MetricRow(
         "alderhatch_node_leader_silence_seconds",
         MetricKind.GAUGE,
         Unit.SECONDS,
-        "How long ago the node heard from the leader.",
+        "Time since the node last received a message from the leader.",
     )
     NODE_LOG_INDEX = MetricRow(
         "alderhatch_node_log_commit_index",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The last entry of the replicated log that is committed, on hosts with a disk.",
+        "Highest committed index of the replicated log, on hosts with a disk.",
     )
     NODE_LOG_TERM = MetricRow(
         "alderhatch_node_log_term",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The term of the replicated log, on hosts with a disk.",
+        "Term of the replicated log, on hosts with a disk.",
     )
     NODE_LOG_SYNCS = MetricRow(
         "alderhatch_node_log_syncs_total",
@@ -167,64 +167,64 @@
         "alderhatch_node_log_sync_seconds_total",
         MetricKind.COUNTER,
         Unit.SECONDS,
-        "How long these syncs took together; over their count it is what one takes.",
+        "Total time of these syncs; divide by their count for the mean.",
     )
     NODE_LOG_LEADERLESS = MetricRow(
         "alderhatch_node_log_leaderless_seconds_total",
         MetricKind.COUNTER,
         Unit.SECONDS,
-        "For how long a host with a disk has known no leader: elections, losses of a majority.",
+        "Total time without a known leader, on hosts with a disk: elections, loss of the majority.",
     )
     NODE_CHANGE_DURATION = MetricRow(
         "alderhatch_node_change_duration_seconds",
         MetricKind.HISTOGRAM,
         Unit.SECONDS,
-        "From an operator's change until enough disks hold it, at the leader.",
+        "Time from an operator's change until it is stored on enough disks, at the leader.",
     )
     NODE_LOG_LINES_DROPPED = MetricRow(
         "alderhatch_node_log_lines_dropped_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Log lines that nobody read in time.",
+        "Log lines that were dropped because they were not read in time.",
     )
     NODE_LOG_BYTES = MetricRow(
         "alderhatch_node_log_bytes_total",
         MetricKind.COUNTER,
         Unit.BYTES,
-        "Bytes of log lines written.",
+        "Bytes written to the log.",
     )
     ENTRY_REQUESTS = MetricRow(
         "alderhatch_entry_requests_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Requests that were given an answer; outcome is answered or the kind of error.",
+        "Requests that got a response; outcome is answered or the kind of error.",
         ("rule", "outcome"),
     )
     ENTRY_DURATION = MetricRow(
         "alderhatch_entry_request_duration_seconds",
         MetricKind.HISTOGRAM,
         Unit.SECONDS,
-        "From a request's last byte until its answer is ready, for requests that were answered.",
+        "Time from the last byte of a request until its answer is ready, for answered requests.",
         ("rule",),
     )
     ENTRY_COVERAGE = MetricRow(
         "alderhatch_entry_coverage",
         MetricKind.HISTOGRAM,
         Unit.FRACTION,
-        "The coverage of answers. The bucket le=0.99 counts those that cover 0.99 or less.",
+        "Coverage of answers. The bucket le=0.99 counts answers with a coverage of 0.99 or less.",
         ("rule",),
     )
     ENTRY_SHARD_REQUESTS = MetricRow(
         "alderhatch_entry_shard_requests_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Shard requests sent, hedges and retries included.",
+        "Shard requests sent, including hedges and retries.",
     )
     ENTRY_SHARD_REQUESTS_NEEDED = MetricRow(
         "alderhatch_entry_shard_requests_needed_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Shard requests that the queries needed; sent / needed - 1 is the extra load.",
+        "Shard requests that queries needed; sent / needed - 1 is the additional load.",
     )
     ENTRY_CONNECTIONS_OPENED = MetricRow(
         "alderhatch_entry_connections_opened_total",
@@ -236,132 +236,132 @@
         "alderhatch_entry_connections_silent_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Connections to servers that were dropped because nothing moved on them.",
+        "Connections to servers that were closed because they made no progress.",
     )
     ENTRY_CONNECTIONS = MetricRow(
         "alderhatch_entry_connections",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Connections to servers of upstreams that are open.",
+        "Open connections to servers of upstreams.",
     )
     ENTRY_CALLERS = MetricRow(
         "alderhatch_entry_caller_connections",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Connections of callers that are open.",
+        "Open connections of callers.",
     )
     ENTRY_RUNNING = MetricRow(
         "alderhatch_entry_requests_running",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Requests under way.",
+        "Requests in progress.",
     )
     ENTRY_SHARD_REQUESTS_WASTED = MetricRow(
         "alderhatch_entry_shard_requests_wasted_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Shard requests whose work was of no use, such as the loser of a hedge.",
+        "Shard requests whose result was not used, such as the loser of a hedge.",
     )
     ENTRY_REVISION = MetricRow(
         "alderhatch_entry_revision",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The revision of the rules that are in force at this entry.",
+        "Revision of the rules in force at this entry.",
     )
     ENTRY_LEASE_LEFT = MetricRow(
         "alderhatch_entry_lease_left_seconds",
         MetricKind.GAUGE,
         Unit.SECONDS,
-        "How long the lease still holds; at 0 every new request is refused.",
+        "Time until the lease expires; at 0 all new requests are refused.",
     )
     CONTROL_REVISION = MetricRow(
         "alderhatch_control_revision",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The configuration's revision as this control host has applied it.",
+        "Revision of the configuration that this control host has applied.",
     )
     CONTROL_LEADS = MetricRow(
         "alderhatch_control_leads",
         MetricKind.GAUGE,
         Unit.ONE,
-        "1 while this control host leads and grants leases, else 0.",
+        "1 while this control host is the leader and grants leases, else 0.",
     )
     CONTROL_TERM = MetricRow(
         "alderhatch_control_term",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The term of the replicated log; it goes up with each election.",
+        "Term of the replicated log; each election increases it.",
     )
     CONTROL_LAST_INDEX = MetricRow(
         "alderhatch_control_last_index",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The last place in this host's log.",
+        "Highest index in the log of this host.",
     )
     CONTROL_COMMIT_INDEX = MetricRow(
         "alderhatch_control_commit_index",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The last place that a majority is known to have.",
+        "Highest index that a majority is known to have stored.",
     )
     CONTROL_APPLIED_INDEX = MetricRow(
         "alderhatch_control_applied_index",
         MetricKind.GAUGE,
         Unit.ONE,
-        "The last place that this host's state reflects.",
+        "Highest index that is applied to the state of this host.",
     )
     CONTROL_VOTERS = MetricRow(
         "alderhatch_control_voters",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Control hosts that vote.",
+        "Control hosts that are voters.",
     )
     CONTROL_STORAGE_FAILED = MetricRow(
         "alderhatch_control_storage_failed",
         MetricKind.GAUGE,
         Unit.ONE,
-        "1 after this host's disk failed or was full, else 0.",
+        "1 after the disk of this host failed or was full, else 0.",
     )
     CONTROL_ENTRIES = MetricRow(
         "alderhatch_control_entries",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Entries that take part.",
+        "Registered entries.",
     )
     CONTROL_ENTRIES_LIVE = MetricRow(
         "alderhatch_control_entries_live",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Entries with a live lease; only the leader shows it.",
+        "Entries with a valid lease; exported by the leader only.",
     )
     CONTROL_QUARANTINES = MetricRow(
         "alderhatch_control_quarantines",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Bodies that are kept from upstreams because they crashed servers.",
+        "Request bodies that are quarantined because they crashed servers.",
     )
     CONTROL_LEDGER_RECORDS = MetricRow(
         "alderhatch_control_ledger_records",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Requests that the run ledger remembers whole.",
+        "Complete records of requests in the run ledger.",
     )
     CONTROL_LEDGER_RUNNING = MetricRow(
         "alderhatch_control_ledger_running",
         MetricKind.GAUGE,
         Unit.ONE,
-        "Claims whose outcome is not recorded yet.",
+        "Claims without a recorded outcome.",
     )
     CONTROL_LEDGER_BYTES = MetricRow(
         "alderhatch_control_ledger_outcome_bytes",
         MetricKind.GAUGE,
         Unit.BYTES,
-        "Stored outcomes.",
+        "Bytes of stored outcomes.",
     )
     CONTROL_CHANGES = MetricRow(
         "alderhatch_control_changes_total",
         MetricKind.COUNTER,
         Unit.ONE,
-        "Operators' changes that this host answered; outcome is accepted or the kind of error.",
+        "Changes by operators that this host answered; outcome is accepted or the kind of error.",
         ("outcome",),
     )
--- a/src/alderhatch/metrics.py
+++ b/src/alderhatch/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics: plain counters on the hot paths, a Prometheus page on request.
+"""Metrics: plain counters on hot paths, rendered in the Prometheus text format on request.
 
-The registry and the renderer are those of aioprometheus; its asyncio service stays unused. An
-update here costs a dictionary access. The registry is only filled when somebody asks for the page.
+The registry and the renderer come from aioprometheus; its asyncio service is not used. An update
+costs one dictionary access. The registry is only filled when the metrics page is requested.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     from aioprometheus.collectors import Collector, Registry
 
 MAX_SERIES = 2000
-"""Label combinations kept for one metric; further ones are counted together as ``other``."""
-OTHER = "other"
+"""Maximum number of label combinations per metric; further ones are aggregated as ``other``."""
+OTHER_LABEL = "other"
 
 FAST_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.2, 0.29)
 SECONDS_BUCKETS = (*FAST_BUCKETS, 0.4, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0)
@@ -28,14 +28,14 @@
 
 
 class MetricsPage(NamedTuple):
-    """A rendered page of metrics."""
+    """A rendered metrics page."""
 
     body: bytes
     content_type: str
 
 
-class _Observed:
-    """What a histogram has seen of one label combination."""
+class _HistogramSeries:
+    """Bucket counts and sum of a histogram for one label combination."""
 
     __slots__ = ("counts", "total")
 
@@ -48,81 +48,81 @@
     """The metrics of one process.
 
     Args:
-        process: The process's name, put on each metric as the label ``process``.
+        process: Name of the process, added to each metric as the label ``process``.
     """
 
     def __init__(self, process: str) -> None:
         self._process = process
-        self._started = time.monotonic()
+        self._started_at = time.monotonic()
         self._sources: list[Callable[[], None]] = []
         self._values: dict[Metric, dict[tuple[str, ...], float]] = {}
-        self._observed: dict[Metric, dict[tuple[str, ...], _Observed]] = {}
+        self._histograms: dict[Metric, dict[tuple[str, ...], _HistogramSeries]] = {}
         for metric in Metric:
             if metric.value.kind is MetricKind.HISTOGRAM:
-                self._observed[metric] = {}
+                self._histograms[metric] = {}
             else:
                 self._values[metric] = {}
 
     def inc(self, metric: Metric, *labels: str, by: float = 1) -> None:
-        """Raise a counter.
+        """Increment a counter.
 
         Args:
-            metric: Which.
-            *labels: The values of its labels, in the order of the catalogue.
-            by: By how much; not negative.
+            metric: The metric.
+            *labels: Values of the labels, in the order of the catalogue.
+            by: Increment; not negative.
         """
         series = self._values[metric]
         if labels in series:
             series[labels] += by
             return
-        key = self._new_key(metric, labels, len(series))
+        key = self._bounded_key(metric, labels, len(series))
         series[key] = series.get(key, 0) + by
 
     def set(self, metric: Metric, value: float, *labels: str) -> None:
-        """Set a gauge, or a counter to a value that is counted elsewhere.
+        """Set a gauge, or a counter whose value is maintained elsewhere.
 
         Args:
-            metric: Which.
-            value: The present value, in the unit of the catalogue.
-            *labels: The values of its labels, in the order of the catalogue.
+            metric: The metric.
+            value: Current value, in the unit of the catalogue.
+            *labels: Values of the labels, in the order of the catalogue.
         """
         series = self._values[metric]
-        key = labels if labels in series else self._new_key(metric, labels, len(series))
+        key = labels if labels in series else self._bounded_key(metric, labels, len(series))
         series[key] = value
 
     def clear(self, metric: Metric) -> None:
-        """Forget all label combinations of a gauge, before those that still hold are set."""
+        """Remove all label combinations of a gauge, before the current ones are set."""
         self._values[metric].clear()
 
     def observe(self, metric: Metric, value: float, *labels: str) -> None:
-        """Put one value into a histogram.
+        """Record a value in a histogram.
 
         Args:
-            metric: Which.
-            value: The value; spans are given in milliseconds and shown in seconds.
-            *labels: The values of its labels, in the order of the catalogue.
+            metric: The metric.
+            value: The value; durations are passed in milliseconds and exported in seconds.
+            *labels: Values of the labels, in the order of the catalogue.
         """
-        series = self._observed[metric]
+        series = self._histograms[metric]
         buckets = _buckets(metric)
-        seen = series.get(labels)
-        if seen is None:
-            key = self._new_key(metric, labels, len(series))
-            seen = series.setdefault(key, _Observed(buckets))
-        shown = value / SECOND if metric.value.unit is Unit.SECONDS else value
-        seen.counts[bisect_left(buckets, shown)] += 1
-        seen.total += shown
+        series_data = series.get(labels)
+        if series_data is None:
+            key = self._bounded_key(metric, labels, len(series))
+            series_data = series.setdefault(key, _HistogramSeries(buckets))
+        sample = value / SECOND if metric.value.unit is Unit.SECONDS else value
+        series_data.counts[bisect_left(buckets, sample)] += 1
+        series_data.total += sample
 
     def add_source(self, source: Callable[[], None]) -> None:
-        """Have a function called before each page, to copy in what is counted elsewhere."""
+        """Register a function that updates metrics before each page is rendered."""
         self._sources.append(source)
 
     def render(self) -> MetricsPage:
-        """Return the page in Prometheus' text format."""
-        # Loaded with the first page: 2 MB that a process whose metrics nobody reads does not need.
+        """Render the metrics page in the Prometheus text format."""
+        # Imported on first use: the modules take 2 MB, which processes that are never scraped save.
         from aioprometheus.collectors import Registry
         from aioprometheus.renderer import render
 
-        self._copy_process()
+        self._update_process_metrics()
         for source in self._sources:
             source()
         registry = Registry()
@@ -131,38 +131,41 @@
                 continue
             collector = self._collector(metric, registry)
             for labels, value in series.items():
-                collector.set_value(_named(metric, labels), value)
-        for metric, observed in self._observed.items():
-            if not observed:
+                collector.set_value(_label_dict(metric, labels), value)
+        for metric, series_by_labels in self._histograms.items():
+            if not series_by_labels:
                 continue
-            self._fill_histogram(metric, observed, registry)
+            self._fill_histogram(metric, series_by_labels, registry)
         body, headers = render(registry, ())
         return MetricsPage(body, headers["Content-Type"])
 
-    def _new_key(self, metric: Metric, labels: tuple[str, ...], known: int) -> tuple[str, ...]:
+    def _bounded_key(self, metric: Metric, labels: tuple[str, ...], known: int) -> tuple[str, ...]:
         if len(labels) != len(metric.value.labels):
-            raise ValueError(f"{metric.name} takes the labels {metric.value.labels}")
-        # Labels come from rules and upstreams, which operators change. Without a bound, a long
-        # run of changes would fill the memory of the process and of whatever scrapes it.
+            raise ValueError(f"{metric.name}: expected the labels {metric.value.labels}")
+        # Label values come from rules and upstreams, which operators change. Without a bound, many
+        # changes would exhaust the memory of the process and of the system that scrapes it.
         if known >= MAX_SERIES:
-            return (OTHER,) * len(labels)
+            return (OTHER_LABEL,) * len(labels)
         return labels
 
-    def _copy_process(self) -> None:
+    def _update_process_metrics(self) -> None:
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.set(Metric.PROCESS_CPU, usage.ru_utime + usage.ru_stime)
         self.set(Metric.PROCESS_MEMORY, usage.ru_maxrss * 1024)
-        self.set(Metric.PROCESS_UPTIME, time.monotonic() - self._started)
+        self.set(Metric.PROCESS_UPTIME, time.monotonic() - self._started_at)
 
     def _collector(self, metric: Metric, registry: Registry) -> Collector:
         from aioprometheus.collectors import Counter, Gauge
 
         row = metric.value
-        made = Counter if row.kind is MetricKind.COUNTER else Gauge
-        return made(row.name, row.meaning, {"process": self._process}, registry)
+        collector_type = Counter if row.kind is MetricKind.COUNTER else Gauge
+        return collector_type(row.name, row.meaning, {"process": self._process}, registry)
 
     def _fill_histogram(
-        self, metric: Metric, observed: dict[tuple[str, ...], _Observed], registry: Registry
+        self,
+        metric: Metric,
+        series_by_labels: dict[tuple[str, ...], _HistogramSeries],
+        registry: Registry,
     ) -> None:
         from aioprometheus.collectors import Histogram
 
@@ -170,20 +173,20 @@
         buckets = _buckets(metric)
         labels = {"process": self._process}
         collector = Histogram(row.name, row.meaning, labels, registry, list(buckets))
-        for key, seen in observed.items():
-            collector.add(_named(metric, key), 0.0)
-            shown = collector.values[_named(metric, key)]
-            below = 0
-            for bound, count in zip(shown.buckets, seen.counts, strict=True):
-                below += count
-                shown.buckets[bound] = below
-            shown.observations = below
-            shown.sum = seen.total
+        for key, series_data in series_by_labels.items():
+            collector.add(_label_dict(metric, key), 0.0)
+            exported = collector.values[_label_dict(metric, key)]
+            cumulative_count = 0
+            for bound, count in zip(exported.buckets, series_data.counts, strict=True):
+                cumulative_count += count
+                exported.buckets[bound] = cumulative_count
+            exported.observations = cumulative_count
+            exported.sum = series_data.total
 
 
 def _buckets(metric: Metric) -> tuple[float, ...]:
     return FRACTION_BUCKETS if metric.value.unit is Unit.FRACTION else SECONDS_BUCKETS
 
 
-def _named(metric: Metric, labels: tuple[str, ...]) -> dict[str, str]:
+def _label_dict(metric: Metric, labels: tuple[str, ...]) -> dict[str, str]:
     return dict(zip(metric.value.labels, labels, strict=True))
--- a/src/alderhatch/process_start.py
+++ b/src/alderhatch/process_start.py
@@ -1,6 +1,6 @@
-"""When this process began, as early as a module can tell.
+"""Start time of this process.
 
-Import this module before any larger one.
+Import this module before any larger one, so that the time is taken as early as possible.
 """
 
 from __future__ import annotations
@@ -8,4 +8,4 @@
 import time
 
 PROCESS_STARTED = time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
-"""Milliseconds since boot; comparable with the loop's time under ``BootClock``."""
+"""Milliseconds since boot; comparable with the loop time under ``BootClock``."""
--- a/src/alderhatch/request_history.py
+++ b/src/alderhatch/request_history.py
@@ -1,4 +1,4 @@
-"""Finds the history of one request in the logs of several processes."""
+"""Collects the history of one request from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from .log_events import LogEvent
 
-BEFORE = timedelta(seconds=5)
-"""What a process came to believe this long before a request may have decided its fate."""
+STATE_LOOKBACK = timedelta(seconds=5)
+"""How long before a request a state change may still have affected it."""
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 REQUEST_EVENTS = frozenset(
     event.number
@@ -21,7 +21,7 @@
         LogEvent.SHARE_LOST,
     )
 )
-BELIEF_EVENTS = frozenset(
+STATE_EVENTS = frozenset(
     event.number
     for event in (
         LogEvent.CONFIGURATION_ADOPTED,
@@ -38,11 +38,11 @@
         LogEvent.REQUEST_LINES_FOLDED,
     )
 )
-"""Events of the same process that are shown with a request whatever it asked for."""
+"""State changes of a host that are shown with each of its requests."""
 
 
 class LogLine(NamedTuple):
-    """One line of a log."""
+    """One event from a log."""
 
     time: datetime
     host: str
@@ -52,64 +52,69 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the event of a line, or None if the line holds none.
+    """Parse the event in a log line; return None if there is none.
 
-    What stands before the JSON object, as some collectors of logs put it there, is passed over.
+    A prefix before the JSON object, as added by some log collectors, is ignored.
     """
-    begin = text.find("{")
-    if begin < 0:
+    start = text.find("{")
+    if start < 0:
         return None
     try:
-        raw = json.loads(text[begin:])
+        raw = json.loads(text[start:])
         time = datetime.strptime(raw["time"], TIME_FORMAT)
         fields = raw.get("fields") or {}
         return LogLine(time, str(raw.get("host", "")), int(raw["number"]), raw["event"], fields)
     except (ValueError, KeyError, TypeError):
-        # Logs hold lines of other programs too, and lines that were cut off.
+        # Logs also contain lines of other programs and truncated lines.
         return None
 
 
 def find_request_history(request_id: str, texts: Iterable[str]) -> list[LogLine]:
-    """Return what the logs say of a request, in the order of time.
+    """Return the log lines of a request, ordered by time.
 
     Args:
-        request_id: The id as the caller knows it.
-        texts: The lines of all logs.
+        request_id: Request ID as the caller knows it.
+        texts: Lines of all logs.
 
     Returns:
-        The request's own lines; before them what the same hosts came to believe shortly before, as
-        far as it bears on the request. Empty if no line names the request.
+        The lines of the request and the relevant state changes of the same hosts shortly before.
+        Empty if no line names the request.
     """
     lines = [line for line in map(parse_line, texts) if line is not None]
-    own = [one for one in lines if _is_about(one, request_id)]
-    shown = list(own)
+    request_lines = [
+        request_line for request_line in lines if _belongs_to(request_line, request_id)
+    ]
+    history = list(request_lines)
     for line in lines:
-        if any(_bears_on(line, one) for one in own):
-            shown.append(line)
-    return sorted(shown, key=lambda line: line.time)
+        if any(_is_relevant_to(line, request_line) for request_line in request_lines):
+            history.append(line)
+    return sorted(history, key=lambda line: line.time)
 
 
-def _is_about(line: LogLine, request_id: str) -> bool:
+def _belongs_to(line: LogLine, request_id: str) -> bool:
     return line.number in REQUEST_EVENTS and line.fields.get("request") == request_id
 
 
-def _bears_on(line: LogLine, own: LogLine) -> bool:
-    if line.host != own.host or not own.time - BEFORE <= line.time <= own.time:
+def _is_relevant_to(line: LogLine, own_line: LogLine) -> bool:
+    if (
+        line.host != own_line.host
+        or not own_line.time - STATE_LOOKBACK <= line.time <= own_line.time
+    ):
         return False
-    if line.number in BELIEF_EVENTS:
+    if line.number in STATE_EVENTS:
         return True
     if line.number != LogEvent.SERVER_BELIEF.number:
         return False
-    servers = {step.get("server") for step in own.fields.get("steps", ())}
+    servers = {step.get("server") for step in own_line.fields.get("steps", ())}
     return line.fields.get("server_id") in servers
 
 
 def format_line(line: LogLine) -> list[str]:
-    """Return a line of a history as text: the event, and below it each decision."""
+    """Format a line of a history as text: the event, followed by one row for each decision."""
     fields = dict(line.fields)
     steps = fields.pop("steps", ())
-    shown = " ".join(f"{name}={value}" for name, value in fields.items())
-    rows = [f"{line.time:%H:%M:%S.%f} {line.host} {line.event} {shown}".rstrip()]
+    field_text = " ".join(f"{name}={value}" for name, value in fields.items())
+    rows = [f"{line.time:%H:%M:%S.%f} {line.host} {line.event} {field_text}".rstrip()]
     for step in steps:
         parts = " ".join(f"{name}={value}" for name, value in step.items() if name != "at")
         rows.append(f"    {step.get('at', 0):>8} ms  {parts}")
--- a/src/alderhatch/signal.py
+++ b/src/alderhatch/signal.py
@@ -1,4 +1,4 @@
-"""Tells any number of waiting tasks that something changed."""
+"""Notifies any number of waiting tasks."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Signal:
-    """Wakes all who wait at the time; one who begins to wait later waits for the next one."""
+    """Wakes all tasks that are waiting; a task that waits later gets the next notification."""
 
     def __init__(self) -> None:
         self._event = trio.Event()
 
     def notify(self) -> None:
-        """Wake all who wait now."""
+        """Wake all tasks that are waiting now."""
         self._event.set()
         self._event = trio.Event()
 
@@ -23,7 +23,7 @@
         await self._event.wait()
 
     async def wait_for(self, timeout: Millis) -> bool:
-        """Wait for the next ``notify``, but not longer than the timeout; return whether it came."""
+        """Wait for the next ``notify``; return False if the timeout expires first."""
         with trio.move_on_after(max(0.0, timeout) / SECOND):
             await self._event.wait()
             return True
--- a/src/alderhatch/stop_signal.py
+++ b/src/alderhatch/stop_signal.py
@@ -1,4 +1,4 @@
-"""The signals that tell a program to stop."""
+"""Signals that stop a program."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 async def wait_for_stop(signals: AsyncIterator[int]) -> None:
-    """Wait for the first of the signals, and log it.
+    """Wait for the first signal and log it.
 
     Args:
-        signals: What trio's receiver of ``STOP_SIGNALS`` gives.
+        signals: Signals received by ``trio.open_signal_receiver`` for ``STOP_SIGNALS``.
     """
     async for number in signals:
         log_event(LogEvent.PROGRAM_STOPPED_BY_SIGNAL, signal=signal.Signals(number).name)
--- a/src/alderhatch/storage/_frame.py
+++ b/src/alderhatch/storage/_frame.py
@@ -1,4 +1,4 @@
-"""The framing of everything in the data folder: length and checksum before the bytes."""
+"""Frame format of the files in the data folder: magic bytes, length and checksum, then payload."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 from xxhash import xxh3_64_intdigest
 
 _HEADER = struct.Struct("<4sIQ")
-MARK = b"aLd\xa5"
-"""What every frame starts with, so that frames behind a damaged one can be found."""
+MAGIC = b"aLd\xa5"
+"""Magic bytes at the start of each frame; used to find frames after a damaged one."""
 HEADER_BYTES = _HEADER.size
 MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
 
 
 class Frame(NamedTuple):
-    """A whole and undamaged frame."""
+    """A complete frame with a valid checksum."""
 
     payload: bytes
     end: int
-    """The offset behind it."""
+    """Offset of the first byte after the frame."""
 
 
 def _checksum(payload: bytes, file_number: int, offset: int) -> int:
-    # File and offset belong to the checksum, so that neither a block that the disk put at the
-    # wrong place nor a frame quoted within a command is taken for a frame.
+    # The seed contains the file number and the offset, so that neither a block that the disk wrote
+    # to the wrong place nor the bytes of a frame inside a command pass as a valid frame.
     seed = (file_number << 32) ^ offset ^ (len(payload) << 16)
     return xxh3_64_intdigest(payload, seed & 0xFFFF_FFFF_FFFF_FFFF)
 
 
 def encode_frame(payload: bytes, file_number: int, offset: int) -> bytes:
-    """Return the bytes of a frame for one place in one file.
+    """Encode a frame for a given offset of a given file.
 
     Args:
-        payload: What is framed; at most ``MAX_PAYLOAD_BYTES``.
-        file_number: The file's number.
-        offset: Where in the file the frame starts.
+        payload: Content of the frame; at most ``MAX_PAYLOAD_BYTES``.
+        file_number: Number of the journal segment; 0 for other files.
+        offset: Offset in the file at which the frame starts.
     """
-    header = _HEADER.pack(MARK, len(payload), _checksum(payload, file_number, offset))
+    header = _HEADER.pack(MAGIC, len(payload), _checksum(payload, file_number, offset))
     return header + payload
 
 
 def read_frame(data: bytes, file_number: int, offset: int) -> Frame | None:
-    """Return the frame at an offset of a file's bytes, or None if there is no whole one."""
+    """Return the frame at an offset of a file's bytes, or None if there is no valid one."""
     start = offset + HEADER_BYTES
     if start > len(data):
         return None
-    mark, length, checksum = _HEADER.unpack_from(data, offset)
+    magic, length, checksum = _HEADER.unpack_from(data, offset)
     end = start + length
-    if mark != MARK or length > MAX_PAYLOAD_BYTES or end > len(data):
+    if magic != MAGIC or length > MAX_PAYLOAD_BYTES or end > len(data):
         return None
     payload = data[start:end]
     if _checksum(payload, file_number, offset) != checksum:
@@ -57,10 +57,10 @@
 
 
 def find_frame(data: bytes, file_number: int, offset: int) -> int | None:
-    """Return the offset of the first whole frame at or behind an offset, or None."""
-    at = data.find(MARK, offset)
-    while at >= 0:
-        if read_frame(data, file_number, at) is not None:
-            return at
-        at = data.find(MARK, at + 1)
+    """Return the offset of the first valid frame at or after an offset, or None."""
+    position = data.find(MAGIC, offset)
+    while position >= 0:
+        if read_frame(data, file_number, position) is not None:
+            return position
+        position = data.find(MAGIC, position + 1)
     return None
--- a/src/alderhatch/storage/_records.py
+++ b/src/alderhatch/storage/_records.py
@@ -1,4 +1,4 @@
-"""The records in the frames of the data folder, as CBOR."""
+"""CBOR encoding of the records in the frames of the data folder."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from ..message_check import Check, MessageError, build_check
 
 FORMAT = 1
-"""The version of everything in the folder; another one is refused."""
+"""Format version of all files in the folder; files of other versions are rejected."""
 
 
 class SegmentHead(NamedTuple):
-    """The first frame of a journal segment."""
+    """Header of a journal segment, in its first frame."""
 
     format: int
     member_id: str
     hard_state: HardState
-    """As it was when the segment was begun, so that older segments can go."""
+    """Term and vote when the segment was created, so that older segments can be removed."""
 
 
 class SnapshotHead(NamedTuple):
-    """The first frame of a snapshot file; the state's bytes follow it."""
+    """Header of a snapshot file, in its first frame; the bytes of the state follow it."""
 
     format: int
     cluster_id: str
@@ -36,18 +36,18 @@
 
 
 class Identity(NamedTuple):
-    """Whose folder this is."""
+    """The host, member and cluster that a folder belongs to."""
 
     format: int
     name: str
     """The host's name from its settings."""
     member_id: str
     cluster_id: str
-    """Empty until the host has joined or founded a cluster; never changes afterwards."""
+    """Empty until the host has joined or bootstrapped a cluster; never changes afterwards."""
 
 
 class LogReset(NamedTuple):
-    """All entries before this record are void; a snapshot has taken their place."""
+    """Discards all entries before this record, for example because a snapshot replaces them."""
 
     index: int  # type: ignore[assignment]
     term: int
@@ -63,7 +63,7 @@
 
 
 def encode_records(records: list[Record]) -> bytes:
-    """Return the payload of a journal frame."""
+    """Encode records as the payload of a journal frame."""
     return cbor2.dumps([_encode(record) for record in records])
 
 
@@ -78,15 +78,15 @@
 
 
 def decode_records(payload: bytes) -> list[Record]:
-    """Return the records of a journal frame.
+    """Decode the records of a journal frame.
 
     Raises:
-        ValueError: If the payload is not one of this format.
+        ValueError: If the payload holds no valid records.
     """
     try:
         return [_decode(raw) for raw in cbor2.loads(payload)]
     except (cbor2.CBORError, TypeError, MessageError) as exc:
-        raise ValueError(f"no records: {exc}") from exc
+        raise ValueError(f"invalid journal records: {exc}") from exc
 
 
 def _decode(raw: list[Any]) -> Record:
@@ -94,33 +94,33 @@
         case [1, int(term), str(vote)]:
             return HardState(term, vote)
         case [2, int(index), int(term), int(kind), bytes(command), membership]:
-            known = None if membership is None else _check_membership(membership)
-            return LogEntry(index, term, EntryKind(kind), command, known)
+            checked_membership = None if membership is None else _check_membership(membership)
+            return LogEntry(index, term, EntryKind(kind), command, checked_membership)
         case [3, int(index), int(term)]:
             return LogReset(index, term)
-    raise ValueError(f"unknown record of type {raw[:1]}")
+    raise ValueError(f"unknown record type {raw[:1]}")
 
 
 def encode_head(head: SegmentHead | SnapshotHead | Identity) -> bytes:
-    """Return the payload of a file's first frame."""
+    """Encode a header as the payload of a file's first frame."""
     return cbor2.dumps([type(head).__name__, head])
 
 
 def decode_head(payload: bytes, head_type: type[Any]) -> Any:
-    """Return the checked first frame of a file.
+    """Decode and check the header in the first frame of a file.
 
     Raises:
-        ValueError: If the file is of another kind or format.
+        ValueError: If the header is invalid or of another type or format version.
     """
     try:
         raw = cbor2.loads(payload)
     except cbor2.CBORError as exc:
-        raise ValueError(f"no CBOR: {exc}") from exc
+        raise ValueError(f"not CBOR: {exc}") from exc
     if not (isinstance(raw, list) and len(raw) == 2 and raw[0] == head_type.__name__):
-        raise ValueError("a file of another kind")
+        raise ValueError("not a header of the expected type")
     if not (isinstance(raw[1], list) and raw[1] and raw[1][0] == FORMAT):
-        raise ValueError(f"format {raw[1][:1]}, this program knows format {FORMAT}")
+        raise ValueError(f"unsupported format {raw[1][:1]}, expected {FORMAT}")
     try:
         return build_check(head_type)(raw[1])
     except MessageError as exc:
-        raise ValueError(f"no {head_type.__name__}: {exc.field_path}: {exc.message}") from exc
+        raise ValueError(f"invalid {head_type.__name__}: {exc.field_path}: {exc.message}") from exc
--- a/src/alderhatch/storage/data_folder.py
+++ b/src/alderhatch/storage/data_folder.py
@@ -1,4 +1,4 @@
-"""Everything that a control host has on disk."""
+"""Persistent state of a control host: identity, journal and snapshots."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from .snapshot_files import SnapshotFiles
 
 IDENTITY_NAME = "identity"
-_IDENTITY_TEMPORARY = "identity.tmp"
+_TEMPORARY_IDENTITY_NAME = "identity.tmp"
 
 
 class LogWrite(NamedTuple):
-    """What goes to the journal in one write."""
+    """Hard state and entries that are written to the journal together."""
 
     hard_state: HardState | None
     entries: tuple[LogEntry, ...]
 
 
 class DataFolder:
-    """Identity, journal and snapshots of one host. Any error in writing is final.
+    """Identity, journal and snapshots of one host. A write error is permanent.
 
-    After a failed write or sync nobody knows what is on disk: the kernel may have dropped the
-    bytes and report the next sync as good. So nothing more is written until the process has
-    started anew and read what is really there.
+    After a failed write or sync the content of the disk is unknown: the kernel may have dropped
+    the bytes and still report success for the next sync. Nothing more is written until the process
+    has restarted and read what is on disk.
     """
 
     def __init__(self, files: Files, name: str) -> None:
-        """Open the folder, or begin a new one under a new identity.
+        """Open the folder; an empty folder gets a new identity.
 
         Args:
-            files: The folder.
+            files: Files of the folder.
             name: The host's name from its settings.
 
         Raises:
-            DataFolderError: If the folder is in use, damaged, foreign or of another format.
-            OSError: If it can't be read or written.
+            DataFolderError: If the folder is in use, damaged, of another host or of another format.
+            OSError: If the folder can't be read or written.
         """
         self._files = files
         self._failure: OSError | None = None
@@ -65,28 +65,28 @@
         if self._journal.is_empty:
             if snapshot is not None or self.identity.cluster_id:
                 raise DataFolderError(f"{JOURNAL_PREFIX}*", 0, "the journal is missing")
-            self._journal.begin(HardState())
-        entries = self._journal.entries_behind(snapshot)
+            self._journal.start(HardState())
+        entries = self._journal.entries_after(snapshot)
         if entries is None:
             self._reset_journal(snapshot)
         self.hard_state = self._journal.hard_state
-        """Term and vote as they were found."""
+        """Term and vote that were read from disk."""
         self.log = RaftLog(snapshot, entries or ())
-        """Snapshot and entries as they were found."""
+        """Snapshot and entries that were read from disk."""
         self.truncated_bytes = self._journal.truncated_bytes
-        """How many bytes of a write that a crash interrupted were cut off."""
+        """Bytes of an incomplete write that were truncated."""
         self._journal.entries.clear()
 
     # Identity
 
     @property
     def member_id(self) -> str:
-        """The folder's own identity; a new folder is a new member."""
+        """Member ID of the folder; a new folder is a new member."""
         return self.identity.member_id
 
     @property
     def cluster_id(self) -> str:
-        """The cluster that the folder belongs to; empty if none yet."""
+        """Cluster that the folder belongs to; empty if none yet."""
         return self.identity.cluster_id
 
     def _load_identity(self, name: str) -> Identity:
@@ -106,42 +106,43 @@
         except ValueError as exc:
             raise DataFolderError(IDENTITY_NAME, 0, str(exc)) from exc
         if found.name != name:
-            why = f"the folder belongs to host {found.name}, the settings say {name}"
-            raise DataFolderError(IDENTITY_NAME, 0, why)
+            reason = f"the folder belongs to host {found.name}, the settings name {name}"
+            raise DataFolderError(IDENTITY_NAME, 0, reason)
         return found
 
     def _save_identity(self, identity: Identity) -> None:
         data = encode_frame(encode_head(identity), 0, 0)
-        write_atomically(self._files, IDENTITY_NAME, _IDENTITY_TEMPORARY, data)
+        write_atomically(self._files, IDENTITY_NAME, _TEMPORARY_IDENTITY_NAME, data)
 
     def join(self, cluster_id: str) -> None:
-        """Belong to a cluster from now on, with nothing of its log yet.
+        """Join a cluster with an empty log.
 
         Raises:
-            ValueError: If the folder belongs to another one.
+            ValueError: If the folder belongs to another cluster.
             OSError: If the disk is full or failed.
         """
-        self._begin_log(cluster_id, [])
+        self._reset_log(cluster_id, [])
 
     def bootstrap(self, cluster_id: str, hard_state: HardState, entry: LogEntry) -> None:
-        """Begin a new cluster whose log starts with one entry.
+        """Create a new cluster whose log starts with one entry.
 
         Raises:
-            ValueError: If the folder belongs to another one.
+            ValueError: If the folder belongs to another cluster.
             OSError: If the disk is full or failed.
         """
-        self._begin_log(cluster_id, [hard_state, entry])
+        self._reset_log(cluster_id, [hard_state, entry])
         self.hard_state = hard_state
         self.log = RaftLog(None, (entry,))
 
-    def _begin_log(self, cluster_id: str, records: list[Record]) -> None:
+    def _reset_log(self, cluster_id: str, records: list[Record]) -> None:
         if self.cluster_id not in ("", cluster_id):
             raise ValueError(f"the folder belongs to cluster {self.cluster_id}")
         self._check_usable()
         identity = self.identity._replace(cluster_id=cluster_id)
         try:
-            # The log first: a founder that knew its cluster but not the members could never go
-            # on. A founding that was interrupted in between leaves an entry that must not count.
+            # The log is written before the identity: a host that knows its cluster but not the
+            # members could never continue. If a bootstrap is interrupted in between, its entry is
+            # left in the journal and must be ignored.
             self._journal.add(LogReset(0, 0), *records)
             self._journal.sync()
             self._save_identity(identity)
@@ -155,7 +156,7 @@
     # Writing
 
     def write(self, *writes: LogWrite) -> None:
-        """Put terms, votes and entries on disk in one write.
+        """Write terms, votes and entries to disk as one frame.
 
         Raises:
             OSError: If the disk is full or failed, now or before.
@@ -174,7 +175,7 @@
     def save_snapshot(
         self, index: int, term: int, membership: Membership, state: bytes
     ) -> SnapshotMeta:
-        """Put a snapshot of this host's state on disk and drop the journal before it.
+        """Save a snapshot of this host's state and remove the journal before it.
 
         Raises:
             OSError: If the disk is full or failed, now or before.
@@ -185,30 +186,30 @@
             return newest
         try:
             meta = self._snapshots.save(index, term, membership, state)
-            self._journal.drop_before(index)
+            self._journal.remove_segments_before(index)
         except OSError as exc:
             self._failure = exc
             raise
         return meta
 
     def store_chunk(self, offset: int, data: bytes) -> None:
-        """Keep a piece of a snapshot that is being received; offset 0 begins anew.
+        """Store a chunk of a snapshot that is being received; offset 0 starts over.
 
         Raises:
             OSError: If the disk is full or failed, now or before.
         """
         self._check_usable()
         try:
-            self._snapshots.store_part(offset, data)
+            self._snapshots.append_incoming(offset, data)
         except OSError as exc:
             self._failure = exc
             raise
 
     def install_snapshot(self, meta: SnapshotMeta) -> bool:
-        """Make a received snapshot this host's state and forget all entries.
+        """Replace this host's state by a received snapshot and discard all entries.
 
         Returns:
-            Whether the snapshot had its checksum; if not, nothing has changed.
+            Whether size and checksum of the snapshot matched; if not, nothing has changed.
 
         Raises:
             OSError: If the disk is full or failed, now or before.
@@ -228,7 +229,7 @@
             return
         self._journal.add(LogReset(snapshot.index, snapshot.term))
         self._journal.sync()
-        self._journal.drop_before(snapshot.index)
+        self._journal.remove_segments_before(snapshot.index)
 
     def _check_usable(self) -> None:
         if self._failure is not None:
@@ -241,10 +242,10 @@
         return self._snapshots.read(meta)
 
     def read_chunk(self, meta: SnapshotMeta, offset: int, length: int) -> bytes | None:
-        """Return a piece of a snapshot; None if it is not the newest one."""
-        return self._snapshots.read_part(meta, offset, length)
+        """Return a chunk of a snapshot; None if it is not the newest one."""
+        return self._snapshots.read_range(meta, offset, length)
 
     def close(self) -> None:
-        """Close the files and free the lock."""
+        """Close the files and release the lock."""
         self._journal.close()
         self._files.unlock()
--- a/src/alderhatch/storage/data_folder_error.py
+++ b/src/alderhatch/storage/data_folder_error.py
@@ -1,23 +1,23 @@
-"""Why a data folder can't be used."""
+"""Error for a data folder that can't be used."""
 
 from __future__ import annotations
 
 
 class DataFolderError(Exception):
-    """The data folder is damaged, foreign or in use; a person has to look at it.
+    """The data folder is damaged, belongs to another host or is in use; it needs manual repair.
 
-    Going on would mean to serve with a part of what was acknowledged, as if it were the whole.
+    Continuing would mean to serve a part of the acknowledged data as if it were complete.
     """
 
-    def __init__(self, name: str, offset: int, why: str) -> None:
-        """Say what is wrong.
+    def __init__(self, name: str, offset: int, reason: str) -> None:
+        """Initialize the error.
 
         Args:
-            name: The file's name in the folder.
-            offset: Where in the file, in bytes.
-            why: What is wrong there.
+            name: Name of the file in the folder.
+            offset: Offset in the file, in bytes.
+            reason: Why the file can't be used.
         """
-        super().__init__(f"{name} at byte {offset}: {why}")
+        super().__init__(f"{name} at byte {offset}: {reason}")
         self.name = name
         self.offset = offset
-        self.why = why
+        self.reason = reason
--- a/src/alderhatch/storage/files.py
+++ b/src/alderhatch/storage/files.py
@@ -1,4 +1,4 @@
-"""The few file operations that the data folder needs, so that tests can make each of them fail."""
+"""File operations of the data folder, behind a protocol so that tests can make each one fail."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class AppendFile(Protocol):
-    """A file that is only ever written at its end."""
+    """A file that is opened for appending."""
 
     def write(self, data: bytes) -> None:
-        """Write all the bytes; they last only once ``sync`` has returned.
+        """Write all bytes; they are durable only after ``sync`` has returned.
 
         Raises:
             OSError: If the disk is full or failed.
         """
 
     def sync(self) -> None:
-        """Return once everything written is on disk.
+        """Wait until all written bytes are on disk.
 
         Raises:
-            OSError: If that can't be known; the file is not to be used any more.
+            OSError: If the bytes may not be on disk; the file must not be used any more.
         """
 
     def close(self) -> None:
@@ -30,7 +30,7 @@
 
 
 class Files(Protocol):
-    """A folder's files. Names are relative to the folder."""
+    """The files of a folder. Names are relative to the folder."""
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -38,62 +38,62 @@
     def read(self, name: str) -> bytes:
         """Return a file's bytes."""
 
-    def read_part(self, name: str, offset: int, length: int) -> bytes:
-        """Return some bytes of a file; fewer if it ends before."""
+    def read_range(self, name: str, offset: int, length: int) -> bytes:
+        """Return a range of bytes of a file; fewer if the file ends before."""
 
     def create(self, name: str) -> AppendFile:
-        """Create an empty file, or empty one that is there, and open it for writing."""
+        """Create a file, or truncate an existing one to 0 bytes, and open it for appending."""
 
     def reopen(self, name: str) -> AppendFile:
-        """Open a file for writing at its end."""
+        """Open a file for appending."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file off and sync it."""
+        """Truncate a file to a size and sync it."""
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file, in place of one with the new name; lasts once the folder is synced."""
+        """Rename a file, replacing any file of the new name; durable once the folder is synced."""
 
     def remove(self, name: str) -> None:
-        """Remove a file; lasts once the folder is synced."""
+        """Remove a file; durable once the folder is synced."""
 
     def sync_folder(self) -> None:
-        """Return once created, renamed and removed names are on disk."""
+        """Wait until created, renamed and removed names are on disk."""
 
     def lock(self) -> bool:
         """Lock the folder for this process.
 
         Returns:
-            Whether the lock was free. The kernel frees it when the process ends, however it ends.
+            Whether the lock was acquired. The kernel releases it when the process ends.
         """
 
     def unlock(self) -> None:
-        """Free the lock."""
+        """Release the lock."""
 
 
 LOCK_NAME = "lock"
 
 
-def write_atomically(files: Files, name: str, temporary: str, data: bytes) -> None:
-    """Put a whole new file in place of one, or nothing of it.
+def write_atomically(files: Files, name: str, temporary_name: str, data: bytes) -> None:
+    """Replace a file atomically: write a temporary file, sync it and rename it.
 
-    Written in place, the file would be half old and half new after a loss of power.
+    If the file were overwritten in place, a power failure could leave a mix of old and new bytes.
 
     Args:
-        files: The folder.
-        name: The file.
-        temporary: The name under which it is written first.
-        data: Its new bytes.
+        files: Files of the folder.
+        name: Name of the file.
+        temporary_name: Name of the temporary file.
+        data: New content of the file.
 
     Raises:
         OSError: If the disk is full or failed.
     """
-    file = files.create(temporary)
+    file = files.create(temporary_name)
     try:
         file.write(data)
         file.sync()
     finally:
         file.close()
-    files.rename(temporary, name)
+    files.rename(temporary_name, name)
     files.sync_folder()
 
 
@@ -104,17 +104,17 @@
         self._fd = fd
 
     def write(self, data: bytes) -> None:
-        """Write all the bytes, however many calls that takes."""
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(self._fd, rest) :]
+        """Write all bytes, with as many calls as needed."""
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._fd, remaining) :]
 
     def sync(self) -> None:
-        """Call fsync; its error is final, as the kernel may have dropped the dirty pages."""
+        """Call fsync; an error is permanent, as the kernel may have dropped the dirty pages."""
         os.fsync(self._fd)
 
     def close(self) -> None:
-        """Close the descriptor."""
+        """Close the file descriptor."""
         os.close(self._fd)
 
 
@@ -122,7 +122,7 @@
     """A folder on a real disk."""
 
     def __init__(self, folder: Path) -> None:
-        """Use a folder, which is created with its parents if need be."""
+        """Use a folder; it is created with its parents if it does not exist."""
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
         self._lock_fd: int | None = None
@@ -135,18 +135,18 @@
         """Return a file's bytes."""
         return (self.folder / name).read_bytes()
 
-    def read_part(self, name: str, offset: int, length: int) -> bytes:
-        """Return some bytes of a file."""
+    def read_range(self, name: str, offset: int, length: int) -> bytes:
+        """Return a range of bytes of a file."""
         with (self.folder / name).open("rb") as file:
             file.seek(offset)
             return file.read(length)
 
     def create(self, name: str) -> DiskAppendFile:
-        """Create or empty a file."""
+        """Create a file, or truncate an existing one to 0 bytes, and open it for appending."""
         return self._open(name, os.O_CREAT | os.O_TRUNC)
 
     def reopen(self, name: str) -> DiskAppendFile:
-        """Open a file for writing at its end."""
+        """Open a file for appending."""
         return self._open(name, 0)
 
     def _open(self, name: str, flags: int) -> DiskAppendFile:
@@ -154,7 +154,7 @@
         return DiskAppendFile(os.open(self.folder / name, flags, 0o600))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file off and sync it."""
+        """Truncate a file to a size and sync it."""
         fd = os.open(self.folder / name, os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.ftruncate(fd, size)
@@ -171,7 +171,7 @@
         (self.folder / name).unlink()
 
     def sync_folder(self) -> None:
-        """Sync the folder's own entry list."""
+        """Call fsync on the directory, which makes changed names durable."""
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -179,7 +179,7 @@
             os.close(fd)
 
     def lock(self) -> bool:
-        """Lock the folder by ``flock`` on a file in it."""
+        """Lock the folder with ``flock`` on a file in it."""
         if self._lock_fd is not None:
             return False
         fd = os.open(self.folder / LOCK_NAME, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
@@ -192,7 +192,7 @@
         return True
 
     def unlock(self) -> None:
-        """Free the lock."""
+        """Release the lock."""
         if self._lock_fd is not None:
             os.close(self._lock_fd)
             self._lock_fd = None
--- a/src/alderhatch/storage/journal.py
+++ b/src/alderhatch/storage/journal.py
@@ -1,8 +1,9 @@
-"""The journal: term, vote and entries, in segments of frames.
+"""The journal: term, vote and entries, stored as frames in a sequence of segment files.
 
-Each write is one frame, and the next one is begun only after the last is synced. So a crash can
-spoil at most the last frame, which nobody was told about; it is cut off. A bad frame with a whole
-one behind it had been synced, and may have been acknowledged; it stops the process.
+Each write is one frame, and a frame is written only after the previous one is synced. A crash can
+therefore damage at most the last frame, which was not acknowledged; it is truncated. A damaged
+frame that is followed by an intact one had been synced and may have been acknowledged; it is an
+error that keeps the process from starting.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 
 PREFIX = "journal-"
 SEGMENT_BYTES = 4 * 1024 * 1024
-"""A segment that has grown to this size is followed by a new one."""
+"""Size at which a new segment is started."""
 ROLL_AT_SNAPSHOT_BYTES = 256 * 1024
-"""A segment of this size is followed by a new one when a snapshot is taken, so that it can go."""
+"""Size from which a snapshot starts a new segment, so that the old one can be removed later."""
 
 
 @dataclass(slots=True)
@@ -36,7 +37,7 @@
     number: int
     size: int
     last_index: int = 0
-    """The highest index of an entry in it; 0 without any."""
+    """Highest index of the entries in the segment; 0 if it has none."""
 
     @property
     def name(self) -> str:
@@ -49,17 +50,17 @@
 
 
 class Journal:
-    """The segments of one data folder."""
+    """The journal of one data folder."""
 
     def __init__(self, files: Files, member_id: str) -> None:
         """Read all segments.
 
         Args:
-            files: The data folder.
-            member_id: Whose journal this has to be.
+            files: Files of the data folder.
+            member_id: Member that the journal must belong to.
 
         Raises:
-            DataFolderError: If a segment is damaged, missing, foreign or of another format.
+            DataFolderError: If a segment is damaged, missing, or of another member or format.
         """
         self._files = files
         self._member_id = member_id
@@ -67,11 +68,11 @@
         self._file: AppendFile | None = None
         self._batch: list[Record] = []
         self.hard_state = HardState()
-        """Term and vote as of the last frame."""
+        """Term and vote after the last frame."""
         self.entries: list[LogEntry] = []
-        """The entries read; emptied once they were taken over."""
+        """Entries that were read; the data folder clears them once it has loaded the log."""
         self.truncated_bytes = 0
-        """How many bytes of an unfinished write were cut off."""
+        """Bytes of an incomplete write that were truncated."""
         self._load()
 
     @property
@@ -83,19 +84,19 @@
 
     def _load(self) -> None:
         names = [name for name in self._files.names() if name.startswith(PREFIX)]
-        for place, name in enumerate(names):
+        for position, name in enumerate(names):
             number = self._number_of(name)
             if self._segments and number != self._segments[-1].number + 1:
                 missing = segment_name(self._segments[-1].number + 1)
                 raise DataFolderError(missing, 0, "the segment is missing")
-            self._load_segment(number, is_last=place == len(names) - 1)
+            self._load_segment(number, is_last=position == len(names) - 1)
         if self._segments:
             self._file = self._files.reopen(self._segments[-1].name)
 
     def _number_of(self, name: str) -> int:
         digits = name.removeprefix(PREFIX)
         if not digits.isdecimal() or segment_name(int(digits)) != name:
-            raise DataFolderError(name, 0, "not the name of a segment")
+            raise DataFolderError(name, 0, "not a valid segment name")
         return int(digits)
 
     def _load_segment(self, number: int, is_last: bool) -> None:
@@ -103,48 +104,50 @@
         data = self._files.read(segment.name)
         head = read_frame(data, number, 0)
         if head is None:
-            self._drop_unfinished(segment, data, is_last)
+            self._discard_incomplete(segment, data, is_last)
             return
-        self._take_head(segment, head)
+        self._apply_head(segment, head)
         offset = head.end
         while offset < len(data):
             frame = read_frame(data, number, offset)
             if frame is None:
-                self._cut_tail(segment, data, offset, is_last)
+                self._truncate_tail(segment, data, offset, is_last)
                 break
-            self._take_frame(segment, frame, offset)
+            self._apply_frame(segment, frame, offset)
             offset = frame.end
         segment.size = offset
         self._segments.append(segment)
 
-    def _drop_unfinished(self, segment: _Segment, data: bytes, is_last: bool) -> None:
+    def _discard_incomplete(self, segment: _Segment, data: bytes, is_last: bool) -> None:
         if not is_last or find_frame(data, segment.number, 1) is not None:
-            raise DataFolderError(segment.name, 0, "the head of the segment is damaged")
+            raise DataFolderError(segment.name, 0, "the segment header is damaged")
         self._files.remove(segment.name)
         self._files.sync_folder()
         self.truncated_bytes += len(data)
 
-    def _take_head(self, segment: _Segment, frame: Frame) -> None:
+    def _apply_head(self, segment: _Segment, frame: Frame) -> None:
         try:
             head: SegmentHead = decode_head(frame.payload, SegmentHead)
         except ValueError as exc:
             raise DataFolderError(segment.name, 0, str(exc)) from exc
         if head.member_id != self._member_id:
-            why = f"the segment belongs to {head.member_id}, the folder to {self._member_id}"
-            raise DataFolderError(segment.name, 0, why)
+            reason = f"the segment belongs to {head.member_id}, the folder to {self._member_id}"
+            raise DataFolderError(segment.name, 0, reason)
         self.hard_state = head.hard_state
 
-    def _cut_tail(self, segment: _Segment, data: bytes, offset: int, is_last: bool) -> None:
+    def _truncate_tail(self, segment: _Segment, data: bytes, offset: int, is_last: bool) -> None:
         if not is_last:
-            raise DataFolderError(segment.name, offset, "a frame is damaged in an older segment")
-        behind = find_frame(data, segment.number, offset + 1)
-        if behind is not None:
-            why = f"a frame is damaged, with a whole one behind it at byte {behind}"
-            raise DataFolderError(segment.name, offset, why)
+            raise DataFolderError(
+                segment.name, offset, "damaged frame in a segment that is not the last"
+            )
+        intact_frame_offset = find_frame(data, segment.number, offset + 1)
+        if intact_frame_offset is not None:
+            reason = f"damaged frame, followed by an intact frame at byte {intact_frame_offset}"
+            raise DataFolderError(segment.name, offset, reason)
         self._files.truncate(segment.name, offset)
         self.truncated_bytes += len(data) - offset
 
-    def _take_frame(self, segment: _Segment, frame: Frame, offset: int) -> None:
+    def _apply_frame(self, segment: _Segment, frame: Frame, offset: int) -> None:
         try:
             records = decode_records(frame.payload)
         except ValueError as exc:
@@ -154,31 +157,31 @@
                 case HardState():
                     self.hard_state = record
                 case LogEntry():
-                    self._take_entry(segment, record, offset)
+                    self._apply_entry(segment, record, offset)
                 case LogReset():
                     self.entries.clear()
 
-    def _take_entry(self, segment: _Segment, entry: LogEntry, offset: int) -> None:
+    def _apply_entry(self, segment: _Segment, entry: LogEntry, offset: int) -> None:
         segment.last_index = max(segment.last_index, entry.index)
         if not self.entries:
             self.entries.append(entry)
             return
-        place = entry.index - self.entries[0].index
-        if place < 0 or place > len(self.entries):
-            why = f"entry {entry.index} follows on {self.entries[-1].index}"
-            raise DataFolderError(segment.name, offset, why)
-        del self.entries[place:]
+        position = entry.index - self.entries[0].index
+        if position < 0 or position > len(self.entries):
+            reason = f"entry {entry.index} can't follow entry {self.entries[-1].index}"
+            raise DataFolderError(segment.name, offset, reason)
+        del self.entries[position:]
         self.entries.append(entry)
 
-    def entries_behind(self, snapshot: SnapshotMeta | None) -> tuple[LogEntry, ...] | None:
-        """Return the entries that follow on a snapshot, or on nothing.
+    def entries_after(self, snapshot: SnapshotMeta | None) -> tuple[LogEntry, ...] | None:
+        """Return the entries after a snapshot, or all entries if there is no snapshot.
 
         Returns:
-            The entries; None if the snapshot replaced them all, but the journal doesn't say so
-            yet because the process was stopped in between.
+            The entries; None if the snapshot replaces all of them but the journal has no record of
+            that, because the process ended between the two writes.
 
         Raises:
-            DataFolderError: If entries are missing in between.
+            DataFolderError: If entries between the snapshot and the first entry are missing.
         """
         base = snapshot.index if snapshot else 0
         if not self.entries or self.entries[0].index == base + 1:
@@ -195,17 +198,17 @@
 
     # Writing
 
-    def begin(self, hard_state: HardState) -> None:
-        """Begin the first segment."""
+    def start(self, hard_state: HardState) -> None:
+        """Create the first segment."""
         self.hard_state = hard_state
-        self._begin_segment(1)
+        self._start_segment(1)
 
     def add(self, *records: Record) -> None:
-        """Put records into the next write."""
+        """Add records to the next frame."""
         self._batch += records
 
     def sync(self) -> None:
-        """Write what was added as one frame and return once it is on disk.
+        """Write the added records as one frame and wait until it is on disk.
 
         Raises:
             OSError: If the disk is full or failed.
@@ -225,17 +228,17 @@
                     segment.last_index = max(segment.last_index, record.index)
         self._batch.clear()
         if segment.size >= SEGMENT_BYTES:
-            self._begin_segment(segment.number + 1)
+            self._start_segment(segment.number + 1)
 
-    def drop_before(self, index: int) -> None:
-        """Remove the segments with nothing but entries before an index.
+    def remove_segments_before(self, index: int) -> None:
+        """Remove the segments that only hold entries before an index.
 
-        The entry at the index itself stays: its term shows on the next start that the entries
-        behind it follow on the snapshot.
+        The entry at the index itself is kept: on the next start its term shows that the entries
+        after it continue the log of the snapshot.
         """
         segment = self._segments[-1]
         if segment.size >= ROLL_AT_SNAPSHOT_BYTES:
-            self._begin_segment(segment.number + 1)
+            self._start_segment(segment.number + 1)
         removed = False
         while len(self._segments) > 1 and self._segments[0].last_index < index:
             self._files.remove(self._segments.pop(0).name)
@@ -243,7 +246,7 @@
         if removed:
             self._files.sync_folder()
 
-    def _begin_segment(self, number: int) -> None:
+    def _start_segment(self, number: int) -> None:
         if self._file is not None:
             self._file.close()
             self._file = None
@@ -258,7 +261,7 @@
         self._segments.append(segment)
 
     def close(self) -> None:
-        """Close the open segment."""
+        """Close the segment that is open for appending."""
         if self._file is not None:
             self._file.close()
             self._file = None
--- a/src/alderhatch/storage/snapshot_files.py
+++ b/src/alderhatch/storage/snapshot_files.py
@@ -1,4 +1,4 @@
-"""Snapshots on disk: written aside, synced, then renamed, so that a whole one is always there."""
+"""Snapshot files, replaced atomically: written to a temporary file, synced, then renamed."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 class SnapshotFiles:
-    """The newest snapshot of a data folder, and the one that is being received."""
+    """The newest snapshot of a data folder, and a snapshot that is being received."""
 
     def __init__(self, files: Files, cluster_id: str) -> None:
-        """Find and check the newest snapshot.
+        """Load and check the newest snapshot.
 
         Raises:
-            DataFolderError: If it is damaged, foreign or of another format.
+            DataFolderError: If it is damaged, of another cluster or of another format.
         """
         self._files = files
         self.cluster_id = cluster_id
         self.newest: SnapshotMeta | None = None
-        """What is known of the newest snapshot."""
+        """Metadata of the newest snapshot; None if there is none."""
         self._data_offset = 0
         self._incoming: AppendFile | None = None
         self._incoming_size = 0
@@ -43,33 +43,37 @@
                 files.remove(name)
         names = self._names()
         if names:
-            self._check(names[-1])
+            self._load(names[-1])
 
     def _names(self) -> list[str]:
         return [name for name in self._files.names() if name.startswith(PREFIX)]
 
-    def _check(self, name: str) -> None:
+    def _load(self, name: str) -> None:
         data = self._files.read(name)
         frame = read_frame(data, 0, 0)
         if frame is None:
-            raise DataFolderError(name, 0, "the head of the snapshot is damaged")
+            raise DataFolderError(name, 0, "the snapshot header is damaged")
         try:
             head: SnapshotHead = decode_head(frame.payload, SnapshotHead)
         except ValueError as exc:
             raise DataFolderError(name, 0, str(exc)) from exc
         if head.cluster_id != self.cluster_id:
-            why = f"the snapshot belongs to cluster {head.cluster_id}, not {self.cluster_id}"
-            raise DataFolderError(name, 0, why)
+            reason = f"the snapshot belongs to cluster {head.cluster_id}, not {self.cluster_id}"
+            raise DataFolderError(name, 0, reason)
         state = data[frame.end :]
         if len(state) != head.size or xxh3_128_hexdigest(state) != head.checksum:
-            raise DataFolderError(name, frame.end, "the state does not have its checksum")
+            raise DataFolderError(
+                name, frame.end, "size or checksum of the state does not match the header"
+            )
         if name != snapshot_name(head.index, head.term):
-            raise DataFolderError(name, 0, "the name is that of another snapshot")
+            raise DataFolderError(
+                name, 0, "the file name does not match index and term in the header"
+            )
         self.newest = SnapshotMeta(head.index, head.term, head.membership, head.size, head.checksum)
         self._data_offset = frame.end
 
     def save(self, index: int, term: int, membership: Membership, state: bytes) -> SnapshotMeta:
-        """Write a snapshot of this host's own state.
+        """Write a snapshot of this host's state.
 
         Raises:
             OSError: If the disk is full or failed.
@@ -88,8 +92,9 @@
             file.sync()
         finally:
             file.close()
-        # Renamed before it is synced, the name could outlive the bytes in a crash: the host would
-        # come back with a snapshot of nothing, and the entries before it already removed.
+        # The file is synced before it is renamed. Otherwise a crash could keep the new name but not
+        # the bytes: the host would restart with an empty snapshot after the entries before it had
+        # been removed.
         self._files.rename(WRITING_NAME, snapshot_name(meta.index, meta.term))
         self._files.sync_folder()
         self.newest = meta
@@ -99,30 +104,30 @@
                 self._files.remove(name)
 
     def read(self, meta: SnapshotMeta) -> bytes | None:
-        """Return the state of the newest snapshot; None if it is another one."""
-        return self.read_part(meta, 0, meta.size)
+        """Return the state of a snapshot; None if it is not the newest one."""
+        return self.read_range(meta, 0, meta.size)
 
-    def read_part(self, meta: SnapshotMeta, offset: int, length: int) -> bytes | None:
-        """Return a part of the newest snapshot's state; None if it is another one."""
+    def read_range(self, meta: SnapshotMeta, offset: int, length: int) -> bytes | None:
+        """Return a range of a snapshot's state; None if it is not the newest one."""
         if meta != self.newest:
             return None
         name = snapshot_name(meta.index, meta.term)
         try:
-            return self._files.read_part(name, self._data_offset + offset, length)
+            return self._files.read_range(name, self._data_offset + offset, length)
         except FileNotFoundError:
-            # A worker thread has just put a newer one in its place.
+            # A worker thread has replaced it by a newer one in the meantime.
             return None
 
     # Receiving
 
-    def store_part(self, offset: int, data: bytes) -> None:
-        """Keep a part of a snapshot that is being received; offset 0 begins anew.
+    def append_incoming(self, offset: int, data: bytes) -> None:
+        """Append a chunk to the snapshot that is being received; offset 0 starts over.
 
         Raises:
             OSError: If the disk is full or failed.
         """
         if offset == 0:
-            self._end_incoming()
+            self._close_incoming()
             self._incoming = self._files.create(INCOMING_NAME)
             self._incoming_size = 0
         if self._incoming is None or offset != self._incoming_size:
@@ -131,15 +136,15 @@
         self._incoming_size += len(data)
 
     def install(self, meta: SnapshotMeta) -> bool:
-        """Make the received snapshot the newest one.
+        """Replace the newest snapshot by the received one.
 
         Returns:
-            Whether it had its checksum; if not it is thrown away.
+            Whether its size and checksum matched; if not, it is discarded.
 
         Raises:
             OSError: If the disk is full or failed.
         """
-        self._end_incoming()
+        self._close_incoming()
         state = self._files.read(INCOMING_NAME)
         self._files.remove(INCOMING_NAME)
         if len(state) != meta.size or xxh3_128_hexdigest(state) != meta.checksum:
@@ -147,7 +152,7 @@
         self._publish(meta, state)
         return True
 
-    def _end_incoming(self) -> None:
+    def _close_incoming(self) -> None:
         if self._incoming is not None:
             self._incoming.close()
             self._incoming = None
