--- a/features/steps/message_check_steps.py
+++ b/features/steps/message_check_steps.py
@@ -9,7 +9,7 @@
 from alderhatch.codec import Codec
 from alderhatch.core.forwarding.caller_hosts import HostRecord
 from alderhatch.core.forwarding.server_record import ServerRecord
-from alderhatch.message_check import MessageError, check_of
+from alderhatch.message_check import MessageError, build_check
 from alderhatch.node.tier_messages import (
     TIER_MESSAGE_TYPES,
     ConfigurationNews,
@@ -21,23 +21,23 @@
 )
 from features.support.message_records import Record
 
-check = check_of(Record)
+check = build_check(Record)
 
 
-@then('the value {value} as a record is refused at "{place}"')
-@then('the value {value} as a record is refused at ""')
-def step_refused(context, value, place=""):
+@then('the value {value} as a record is rejected at "{path}"')
+@then('the value {value} as a record is rejected at ""')
+def step_rejected(context, value, path=""):
     try:
         found = check(json.loads(value))
     except MessageError as exc:
-        assert exc.place == place, exc.place
+        assert exc.field_path == path, exc.field_path
         return
     raise AssertionError(found)
 
 
-@then("the value {value} as a record is taken as {shown}")
-def step_taken(context, value, shown):
-    assert repr(check(json.loads(value))) == shown
+@then("the value {value} as a record is converted to {result}")
+def step_converted(context, value, result):
+    assert repr(check(json.loads(value))) == result
 
 
 @then("random messages between hosts are the same after encoding and decoding")
--- a/src/alderhatch/node/state_checkpoint.py
+++ b/src/alderhatch/node/state_checkpoint.py
@@ -15,7 +15,7 @@
 from ..errors import AlderhatchError
 from ..log import log_event
 from ..log_events import LogEvent
-from ..storage.files import DiskFiles, write_whole
+from ..storage.files import DiskFiles, write_atomically
 from .node_state import NodeState
 from .tier_messages import ConfigurationNews, TierView
 
@@ -127,4 +127,4 @@
 
 
 def _write(folder: Path, new_state: KeptState) -> None:
-    write_whole(DiskFiles(folder), CHECKPOINT_NAME, TEMPORARY_NAME, CODEC.encode(new_state))
+    write_atomically(DiskFiles(folder), CHECKPOINT_NAME, TEMPORARY_NAME, CODEC.encode(new_state))
