--- a/features/steps/control_entries_steps.py
+++ b/features/steps/control_entries_steps.py
@@ -8,7 +8,7 @@
 from alderhatch.entry._control_host_selector import ControlHostSelector
 from alderhatch.settings.models import NamedEndpoint
 from features.support.control_commands import rule
-from features.support.control_tier import LOOPBACK, Forwarder, control_tier
+from features.support.control_tier import LOOPBACK, TcpProxy, control_tier
 
 ADD_RULE = {"change_id": "c-1", "expected_revision": 0, "rule": rule("night")}
 
@@ -20,25 +20,25 @@
 
 async def _partitioned_entry():
     async with control_tier() as tier:
-        forwarders = []
+        proxies = []
         for name in tier.hosts:
-            forwarder = Forwarder(tier.ports[name][0])
-            await tier.nursery.start(forwarder.run)
-            forwarders.append(forwarder)
+            proxy = TcpProxy(tier.ports[name][0])
+            await tier.nursery.start(proxy.run)
+            proxies.append(proxy)
         controls = [
-            NamedEndpoint(name=name, address=LOOPBACK, port=one.own_port)
-            for name, one in zip(tier.hosts, forwarders, strict=True)
+            NamedEndpoint(name=name, address=LOOPBACK, port=one.listen_port)
+            for name, one in zip(tier.hosts, proxies, strict=True)
         ]
         partitioned = await tier.start_entry("entry-1", controls=controls)
         connected = await tier.start_entry("entry-2")
         await partitioned.wait_ready()
-        # Its host reaches control only through the forwarders, whichever hosts control announces.
+        # Its host reaches control only through the proxies, whichever hosts control announces.
         partitioned._host_selector = ControlHostSelector(controls, 0)
         partitioned._host_selector.set_learned = lambda announced: None
-        for forwarder in forwarders:
+        for proxy in proxies:
             # Open connections become silent, and new ones are never answered.
-            forwarder.silent = True
-            forwarder.port = 9
+            proxy.silent = True
+            proxy.port = 9
         served_until = []
 
         async def record_end():
@@ -64,9 +64,9 @@
 async def _silent_link():
     async with control_tier(lease=4000.0) as tier:
         follower = await tier.follower()
-        forwarder = Forwarder(tier.ports[follower][0])
-        await tier.nursery.start(forwarder.run)
-        controls = [NamedEndpoint(name="silent", address=LOOPBACK, port=forwarder.own_port)]
+        proxy = TcpProxy(tier.ports[follower][0])
+        await tier.nursery.start(proxy.run)
+        controls = [NamedEndpoint(name="silent", address=LOOPBACK, port=proxy.listen_port)]
         client = await tier.start_entry("entry-1", controls=controls)
         lapses = []
 
@@ -78,7 +78,7 @@
 
         tier.nursery.start_soon(watch)
         assert client.control_host == "silent"
-        forwarder.silent = True
+        proxy.silent = True
         await tier.until(lambda: client.control_host not in (None, "silent"))
         await trio.sleep(1.5 * tier.lease / SECOND)
         assert client.may_serve() and lapses == []
--- a/features/support/control_tier.py
+++ b/features/support/control_tier.py
@@ -236,17 +236,17 @@
             nursery.cancel_scope.cancel()
 
 
-class Forwarder:
+class TcpProxy:
     """Passes bytes on between two ends, until it goes silent without closing anything."""
 
     def __init__(self, port):
         self.port = port
         self.silent = False
-        self.own_port = 0
+        self.listen_port = 0
 
     async def run(self, task_status):
         listeners = await trio.open_tcp_listeners(0, host=LOOPBACK)
-        self.own_port = listeners[0].socket.getsockname()[1]
+        self.listen_port = listeners[0].socket.getsockname()[1]
         await trio.serve_listeners(self._serve, listeners, task_status=task_status)
 
     async def _serve(self, stream):
--- a/src/alderhatch/control/control_time.py
+++ b/src/alderhatch/control/command_clock.py
@@ -9,7 +9,7 @@
 MAX_DISAGREEMENT: Millis = HOUR
 
 
-class ControlTime:
+class CommandClock:
     """Milliseconds since 1970 that go on steadily while this host leads.
 
     The wall clock is read once, when the host begins to lead. A wall clock that jumps while it
@@ -22,7 +22,7 @@
         self._wall = wall
         self._offset: Millis = 0.0
 
-    def begin(self, last: Millis) -> None:
+    def begin_term(self, last: Millis) -> None:
         """Start from the wall clock, or from the last command's time where that is later."""
         wall = self._wall.now()
         if last > 0 and abs(wall - last) > MAX_DISAGREEMENT:
--- a/src/alderhatch/control/control_host.py
+++ b/src/alderhatch/control/control_host.py
@@ -14,8 +14,8 @@
 from ..log import log_event
 from ..log_events import LogEvent
 from ..signal import Signal
+from .command_clock import CommandClock
 from .control_log import ControlLog
-from .control_time import ControlTime
 from .leader_link import GrantResult, LeaderLink
 from .leadership import Leadership, LeadershipDependencies
 from .observed_state import ObservedState
@@ -63,7 +63,7 @@
         self.lease = lease
         """How long entries' leases are, in milliseconds."""
         self._leader_link = leader_link
-        self._time = ControlTime(clock, wall or WallClock())
+        self._time = CommandClock(clock, wall or WallClock())
         self.proposer = Proposer(log, self._time)
         """Puts operations on the log."""
         self._services = LeadershipDependencies(log, observed, self.proposer, clock, self._time)
@@ -92,9 +92,9 @@
         """
         if self.leadership is None:
             return await self._leader_link.renew(renewal)
-        return self.renew_here(renewal)
+        return self.renew_locally(renewal)
 
-    def renew_here(self, renewal: Renewal) -> GrantResult:
+    def renew_locally(self, renewal: Renewal) -> GrantResult:
         """Decide on a renewal as the leader.
 
         Raises:
@@ -104,17 +104,17 @@
         grant = leadership.renew(renewal, self._start_registration)
         return GrantResult(leadership.term, grant)
 
-    async def operate(self, operations: list[bytes]) -> list[bytes]:
+    async def submit_operations(self, operations: list[bytes]) -> list[bytes]:
         """Put encoded operations on the log, here or at the leader; return their answers.
 
         Raises:
             AlderhatchError: See ``Proposer.submit``.
         """
         if self.leadership is None:
-            return await self._leader_link.operate(operations)
-        return await self.operate_here(operations)
+            return await self._leader_link.submit_operations(operations)
+        return await self.submit_operations_locally(operations)
 
-    async def operate_here(self, operations: Sequence[bytes]) -> list[bytes]:
+    async def submit_operations_locally(self, operations: Sequence[bytes]) -> list[bytes]:
         """Put encoded operations on the log as the leader.
 
         Raises:
@@ -161,7 +161,7 @@
             return
         if self.log.status().term != term or not self.log.holds_lease():
             return
-        self._time.begin(self.state.now)
+        self._time.begin_term(self.state.now)
         self.leadership = Leadership(self._services, self.lease)
         log_event(LogEvent.CONTROL_LEADS, term=term, revision=self.state.revision)
         if self._nursery is not None:
--- a/src/alderhatch/control/control_server.py
+++ b/src/alderhatch/control/control_server.py
@@ -129,7 +129,7 @@
         )
         while True:
             try:
-                await self.host.operate([OPERATIONS.encode(operation)])
+                await self.host.submit_operations([OPERATIONS.encode(operation)])
                 return
             except AlderhatchError:
                 await trio.sleep(ANNOUNCE_RETRY / SECOND)
--- a/src/alderhatch/control/leader_link.py
+++ b/src/alderhatch/control/leader_link.py
@@ -118,7 +118,7 @@
         result: GrantResult = call.reply
         return result
 
-    async def operate(self, operations: list[bytes]) -> list[bytes]:
+    async def submit_operations(self, operations: list[bytes]) -> list[bytes]:
         """Relay operations for the log and return their encoded answers.
 
         Raises:
--- a/src/alderhatch/control/leadership.py
+++ b/src/alderhatch/control/leadership.py
@@ -25,8 +25,8 @@
 from ..log_events import LogEvent
 from ..signal import Signal
 from ._member_reconciler import MemberReconciler
+from .command_clock import CommandClock
 from .control_log import ControlLog
-from .control_time import ControlTime
 from .observed_state import ObservedState
 from .proposer import Proposer
 
@@ -42,7 +42,7 @@
     observed: ObservedState
     proposer: Proposer
     clock: Clock
-    time: ControlTime
+    time: CommandClock
 
 
 class InForceStatus(NamedTuple):
--- a/src/alderhatch/control/link_server.py
+++ b/src/alderhatch/control/link_server.py
@@ -95,7 +95,7 @@
             while True:
                 state = self._host.state
                 if state.feed.version <= told.version:
-                    await self._host.observed.moved.wait()
+                    await self._host.observed.version_changed.wait()
                     continue
                 if trio.current_time() < next_at:
                     await trio.sleep_until(next_at)
@@ -129,7 +129,7 @@
             return
         if grant is None:
             return
-        if not await self._host.observed.reach(grant.version, APPLY_TIMEOUT):
+        if not await self._host.observed.wait_for_version(grant.version, APPLY_TIMEOUT):
             await link.send(RenewalFailed(renewal.sequence, "this control host is behind"))
             return
         told.version = max(told.version, self._host.state.feed.version)
@@ -144,7 +144,7 @@
             await link.send(OperationsFailed(number, str(ErrorKind.FORBIDDEN), problem))
             return
         try:
-            answers = await self._host.operate(operations)
+            answers = await self._host.submit_operations(operations)
         except AlderhatchError as exc:
             failure = exc.failure
             await link.send(OperationsFailed(number, str(failure.kind), failure.message))
@@ -166,7 +166,7 @@
         term = 0
         try:
             for renewal in renewals:
-                term, grant = self._host.renew_here(renewal)
+                term, grant = self._host.renew_locally(renewal)
                 grants.append(grant or NO_ANSWER)
         except AlderhatchError as exc:
             return RelayFailed(number, exc.failure.message)
@@ -174,7 +174,7 @@
 
     async def _operate_here(self, link: Link, number: int, operations: list[bytes]) -> None:
         try:
-            answers = await self._host.operate_here(operations)
+            answers = await self._host.submit_operations_locally(operations)
         except AlderhatchError as exc:
             failure = exc.failure
             await link.send(OperationsFailed(number, str(failure.kind), failure.message))
--- a/src/alderhatch/control/observed_state.py
+++ b/src/alderhatch/control/observed_state.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self.state = ControlState()
         """The state itself; changed by the log alone."""
-        self.moved = Signal()
+        self.version_changed = Signal()
         """Notified when the feed's version has changed."""
 
     def apply(self, index: int, command: bytes) -> list[Answer]:
@@ -22,7 +22,7 @@
         before = self.state.feed.version
         answers = self.state.apply(index, command)
         if self.state.feed.version != before:
-            self.moved.notify()
+            self.version_changed.notify()
         return answers
 
     def snapshot(self) -> bytes:
@@ -32,11 +32,11 @@
     def restore(self, data: bytes) -> None:
         """Replace the whole state by an earlier snapshot."""
         self.state.restore(data)
-        self.moved.notify()
+        self.version_changed.notify()
 
-    async def reach(self, version: int, timeout: Millis) -> bool:
+    async def wait_for_version(self, version: int, timeout: Millis) -> bool:
         """Wait until this host has applied a version; return whether it has in time."""
         while self.state.feed.version < version:
-            if not await self.moved.wait_for(timeout):
+            if not await self.version_changed.wait_for(timeout):
                 return self.state.feed.version >= version
         return True
