--- a/src/alderhatch/control/_operator_bodies.py
+++ b/src/alderhatch/control/_operator_bodies.py
@@ -1,4 +1,4 @@
-"""The bodies of operators' requests, checked before anything is done."""
+"""Validation of the bodies and query parameters of operator requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ChangeBody(_Body):
-    """What every change has."""
+    """The fields that every change has."""
 
     change_id: Annotated[str, Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
     expected_revision: Annotated[int, Field(ge=0)]
@@ -49,7 +49,7 @@
 
 
 class ReplaceRulesBody(ChangeBody):
-    """Replace the list."""
+    """Replace the whole list of rules."""
 
     rules: list[dict[str, Any]]
 
@@ -61,13 +61,13 @@
 
 
 class StopBody(ChangeBody):
-    """Plan a stop."""
+    """Plan a stop of a host."""
 
     forced: bool = False
 
 
 class DepartBody(ChangeBody):
-    """Declare a departure."""
+    """Declare that a host leaves for good."""
 
     role: Annotated[HostRole, Field(strict=False)]
     upstream: str = ""
@@ -75,14 +75,14 @@
 
 
 class ReturnBody(ChangeBody):
-    """Take back a server's departure."""
+    """Revoke the departure of an upstream's server."""
 
     role: Annotated[HostRole, Field(strict=False)]
     upstream: Annotated[str, Field(min_length=1)]
 
 
 class ReplacementBody(_Body):
-    """The new identity of a control host."""
+    """The control host that takes the place of another one."""
 
     name: Name
     zone: Name
@@ -98,7 +98,7 @@
 
 
 class ExplainedRequest(_Body):
-    """A request as rules see it."""
+    """The attributes of a request that rules match on."""
 
     kind: str = ""
     upstream: str = ""
@@ -110,7 +110,7 @@
 
 
 class ExplainBody(_Body):
-    """Ask which rule takes a request."""
+    """Ask which rule matches a request."""
 
     request: ExplainedRequest = ExplainedRequest()
 
@@ -119,48 +119,55 @@
 
 
 def parse_body(req: HttpRequest, model: type[_BodyT]) -> _BodyT:
-    """Return the checked body of a request.
+    """Parse and validate the body of a request.
 
     Raises:
-        AlderhatchError: ``bad_request``, naming the first field at fault.
+        AlderhatchError: ``bad_request``, naming the first invalid field.
     """
     try:
         raw = orjson.loads(req.body)
     except orjson.JSONDecodeError as exc:
-        raise _bad("body", f"not JSON: {exc}") from exc
+        raise _bad_request("body", f"not JSON: {exc}") from exc
     if not isinstance(raw, dict):
-        raise _bad("body", "expected a JSON object")
+        raise _bad_request("body", "expected a JSON object")
     try:
         return model.model_validate(raw)
     except ValidationError as exc:
         first = exc.errors()[0]
         field = ".".join(str(part) for part in first["loc"])
-        raise _bad(field or "body", first["msg"]) from exc
+        raise _bad_request(field or "body", first["msg"]) from exc
 
 
 def int_parameter(
-    req: HttpRequest, name: str, default: int | None, least: int, most: int
+    req: HttpRequest, name: str, default: int | None, minimum: int, maximum: int
 ) -> int | None:
-    """Return a number of the query string.
+    """Return an integer parameter of the query string.
+
+    Args:
+        req: The request.
+        name: The name of the parameter.
+        default: The value if the parameter is absent.
+        minimum: The smallest accepted value.
+        maximum: The largest accepted value.
 
     Raises:
-        AlderhatchError: ``bad_request`` if it is no number or out of its range.
+        AlderhatchError: ``bad_request`` if it is not an integer or out of range.
     """
     text = req.query.get(name)
     if text is None:
         return default
     if not (text.isascii() and text.isdigit() and len(text) < 16):
-        raise _bad(name, "expected a whole number")
-    if not least <= int(text) <= most:
-        raise _bad(name, f"not from {least} to {most}")
+        raise _bad_request(name, "expected a whole number")
+    if not minimum <= int(text) <= maximum:
+        raise _bad_request(name, f"expected a number from {minimum} to {maximum}")
     return int(text)
 
 
 def timeout_parameter(req: HttpRequest) -> Millis:
-    """Return the query string's ``timeout_ms``."""
-    default, most = int(DEFAULT_TIMEOUT), int(MAX_TIMEOUT)
-    return float(int_parameter(req, "timeout_ms", default, 1, most) or default)
+    """Return the parameter ``timeout_ms`` of the query string, or its default."""
+    default, maximum = int(DEFAULT_TIMEOUT), int(MAX_TIMEOUT)
+    return float(int_parameter(req, "timeout_ms", default, 1, maximum) or default)
 
 
-def _bad(field: str, message: str) -> AlderhatchError:
+def _bad_request(field: str, message: str) -> AlderhatchError:
     return AlderhatchError(Failure(ErrorKind.BAD_REQUEST, message, field))
--- a/src/alderhatch/control/_operator_changes.py
+++ b/src/alderhatch/control/_operator_changes.py
@@ -1,4 +1,4 @@
-"""The operator API's changes: each is one command on the replicated log."""
+"""Handlers for changes by operators; each change is one command on the replicated log."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     parse_body,
     timeout_parameter,
 )
-from ._operator_route import OperatorCall, Route, leading
+from ._operator_route import OperatorCall, Route, require_leadership
 from ._operator_views import history_row
 from .control_host import ControlHost
 from .control_metrics import ControlMetrics
@@ -48,14 +48,14 @@
 
 
 class OperatorChanges:
-    """Takes operators' changes on one control host."""
+    """Handles operators' changes on one control host."""
 
     def __init__(self, host: ControlHost, metrics: ControlMetrics) -> None:
         self._host = host
         self._metrics = metrics
 
     def routes(self) -> list[Route]:
-        """Return the paths of all changes."""
+        """Return the routes of all changes."""
         return [
             Route("POST", ("rules",), CHANGE, self._add_rule),
             Route("PUT", ("rules",), CHANGE, self._replace_rules),
@@ -111,7 +111,7 @@
     async def _return(self, call: OperatorCall) -> HttpResponse:
         body = parse_body(call.req, ReturnBody)
         if body.role is not HostRole.UPSTREAM:
-            message = "only an upstream's server returns; use cancel-stop for others"
+            message = "expected role upstream; use cancel-stop for other roles"
             raise AlderhatchError(Failure(ErrorKind.BAD_REQUEST, message, "role"))
         return await self._change(call, body, ReturnServer(call.name, body.upstream))
 
@@ -128,13 +128,13 @@
     async def _change(self, call: OperatorCall, body: ChangeBody, action: Action) -> HttpResponse:
         wait = call.req.query.get("wait")
         if wait not in (None, "in_force"):
-            message = "the only thing to wait for is in_force"
+            message = "expected in_force or no value"
             raise AlderhatchError(Failure(ErrorKind.BAD_REQUEST, message, "wait"))
         timeout = timeout_parameter(call.req)
-        leadership = leading(self._host)
+        leadership = require_leadership(self._host)
         status = self._host.log.status()
-        heard = self._host.log.responsive_members() | {status.host}
-        down = [voter for voter in status.voters if voter not in heard]
+        responsive = self._host.log.responsive_members() | {status.host}
+        down = [voter for voter in status.voters if voter not in responsive]
         change = Change(
             body.change_id,
             body.expected_revision,
@@ -144,14 +144,14 @@
             ACTIONS.encode(action),
         )
         (answer,) = await self._host.proposer.submit([OPERATIONS.encode(change)])
-        self._metrics.count_change(answer)
+        self._metrics.record_change(answer)
         if not isinstance(answer, ChangeAccepted):
-            return _refused(call, change, answer)
+            return _refusal_response(call, change, answer)
         _log_accepted(call, answer)
         row: dict[str, object] = _accepted_row(answer)
         if wait is not None:
-            found = await leadership.wait_in_force(answer.version, timeout)
-            row |= found._asdict()
+            in_force_status = await leadership.wait_in_force(answer.version, timeout)
+            row |= in_force_status._asdict()
         return json_response(200, row)
 
 
@@ -175,9 +175,9 @@
     )
 
 
-def _refused(call: OperatorCall, change: Change, answer: object) -> HttpResponse:
+def _refusal_response(call: OperatorCall, change: Change, answer: object) -> HttpResponse:
     if not isinstance(answer, ChangeRefused):
-        message = "the control host did not understand its own command"
+        message = "internal error: unexpected type of answer to a change"
         return failure_response(Failure(ErrorKind.INTERNAL, message))
     log_event(
         LogEvent.CHANGE_REFUSED,
@@ -187,9 +187,9 @@
         why=answer.message,
     )
     failure = Failure(ErrorKind(answer.kind), answer.message, answer.field)
-    extra: dict[str, object] = {"current_revision": answer.current_revision}
+    details: dict[str, object] = {"current_revision": answer.current_revision}
     if answer.faults:
-        extra["faults"] = [fault._asdict() for fault in answer.faults]
+        details["faults"] = [fault._asdict() for fault in answer.faults]
     if failure.kind is ErrorKind.REVISION_CONFLICT:
-        extra["won"] = [history_row(item) for item in answer.won]
-    return failure_response(failure, repeated=answer.repeated, **extra)
+        details["won"] = [history_row(item) for item in answer.won]
+    return failure_response(failure, repeated=answer.repeated, **details)
--- a/src/alderhatch/control/_operator_reads.py
+++ b/src/alderhatch/control/_operator_reads.py
@@ -1,4 +1,4 @@
-"""The operator API's questions: answered from this control host's own state."""
+"""Handlers for read requests by operators, answered from this control host's state."""
 
 from __future__ import annotations
 
@@ -6,26 +6,30 @@
 from ..errors import AlderhatchError, ErrorKind, Failure
 from ..http.messages import HttpResponse, json_response
 from ._operator_bodies import ExplainBody, int_parameter, parse_body, timeout_parameter
-from ._operator_route import OperatorCall, Route, leading
+from ._operator_route import OperatorCall, Route, require_leadership
 from ._operator_views import OperatorViews
 from .control_host import ControlHost
 from .operator_keys import OperatorRole
 
-HISTORY_PAGE = 50
-MAX_HISTORY_PAGE = 200
+DEFAULT_HISTORY_LIMIT = 50
+MAX_HISTORY_LIMIT = 200
 MAX_REVISION = 2**53
 READ = OperatorRole.READ
 
 
 class OperatorReads:
-    """Answers operators' questions on one control host."""
+    """Handles operators' read requests on one control host.
+
+    Unless a request allows stale data or is about this host itself, it is answered by the leader
+    only, after a read barrier.
+    """
 
     def __init__(self, host: ControlHost, views: OperatorViews) -> None:
         self._host = host
         self._views = views
 
     def routes(self) -> list[Route]:
-        """Return the paths of all questions."""
+        """Return the routes of all read requests."""
         return [
             Route("GET", ("rules",), READ, self._get_rules),
             Route("GET", ("rules", "*"), READ, self._get_rule),
@@ -40,16 +44,16 @@
         ]
 
     async def _get_rules(self, call: OperatorCall) -> HttpResponse:
-        await self._be_current(call)
+        await self._wait_until_current(call)
         return json_response(200, self._views.rules())
 
     async def _get_rule(self, call: OperatorCall) -> HttpResponse:
-        await self._be_current(call)
+        await self._wait_until_current(call)
         return json_response(200, self._views.rule(call.name))
 
     async def _explain(self, call: OperatorCall) -> HttpResponse:
         body = parse_body(call.req, ExplainBody).request
-        await self._be_current(call)
+        await self._wait_until_current(call)
         request = Request(
             request_id="explained",
             caller=body.caller,
@@ -64,34 +68,34 @@
         return json_response(200, self._views.explain(request))
 
     async def _get_settings(self, call: OperatorCall) -> HttpResponse:
-        await self._be_current(call)
+        await self._wait_until_current(call)
         return json_response(200, self._views.settings())
 
     async def _get_hosts(self, call: OperatorCall) -> HttpResponse:
-        await self._be_current(call)
+        await self._wait_until_current(call)
         return json_response(200, self._views.hosts())
 
     async def _get_quarantines(self, call: OperatorCall) -> HttpResponse:
-        await self._be_current(call)
+        await self._wait_until_current(call)
         return json_response(200, self._views.quarantines())
 
     async def _get_history(self, call: OperatorCall) -> HttpResponse:
-        limit = int_parameter(call.req, "limit", HISTORY_PAGE, 1, MAX_HISTORY_PAGE)
+        limit = int_parameter(call.req, "limit", DEFAULT_HISTORY_LIMIT, 1, MAX_HISTORY_LIMIT)
         before = int_parameter(call.req, "before", None, 0, MAX_REVISION)
-        await self._be_current(call)
-        return json_response(200, self._views.history(before, limit or HISTORY_PAGE))
+        await self._wait_until_current(call)
+        return json_response(200, self._views.history(before, limit or DEFAULT_HISTORY_LIMIT))
 
     async def _get_in_force(self, call: OperatorCall) -> HttpResponse:
         timeout = timeout_parameter(call.req)
-        leadership = leading(self._host)
+        leadership = require_leadership(self._host)
         await self._host.log.read_barrier()
         state = self._host.state
         revision = int_parameter(call.req, "revision", state.revision, 0, MAX_REVISION) or 0
         if revision > state.revision:
-            message = f"the newest revision is {state.revision}"
+            message = f"expected a revision of at most {state.revision}"
             raise AlderhatchError(Failure(ErrorKind.NOT_FOUND, message, "revision"))
-        found = await leadership.wait_in_force(state.version_of(revision), timeout)
-        return json_response(200, {"revision": revision} | found._asdict())
+        in_force_status = await leadership.wait_in_force(state.version_of(revision), timeout)
+        return json_response(200, {"revision": revision} | in_force_status._asdict())
 
     async def _get_status(self, call: OperatorCall) -> HttpResponse:
         return json_response(200, self._views.status())
@@ -99,8 +103,8 @@
     async def _get_dump(self, call: OperatorCall) -> HttpResponse:
         return json_response(200, self._views.dump())
 
-    async def _be_current(self, call: OperatorCall) -> None:
+    async def _wait_until_current(self, call: OperatorCall) -> None:
         if call.req.query.get("stale") == "true":
             return
-        leading(self._host)
+        require_leadership(self._host)
         await self._host.log.read_barrier()
--- a/src/alderhatch/control/_operator_views.py
+++ b/src/alderhatch/control/_operator_views.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a control host and its state."""
+"""JSON views of a control host and its state for operators."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def history_row(item: HistoryItem) -> dict[str, object]:
-    """Return one accepted change as JSON shows it."""
+    """Return the JSON form of one accepted change."""
     return {
         "revision": item.revision,
         "at_ms": item.at,
@@ -31,7 +31,7 @@
 
 
 class OperatorViews:
-    """Reads the state as this host has applied it."""
+    """Builds views from the state that this host has applied."""
 
     def __init__(self, host: ControlHost, name: str, zone: str) -> None:
         self._host = host
@@ -44,7 +44,7 @@
         return status.leader is not None and status.storage_failure is None
 
     def leader(self) -> dict[str, object] | None:
-        """Return the leader's operator endpoint as far as this host knows it."""
+        """Return the operator endpoint of the leader, or None if this host does not know it."""
         name = self._host.log.status().leader
         record = self._host.state.hosts.controls.get(name or "")
         if record is None or not record.operator_address:
@@ -61,16 +61,16 @@
         return {"revision": state.revision, "rules": state.rule_store.rules.to_plain()}
 
     def rule(self, name: str) -> dict[str, object]:
-        """Return one rule with its history, withdrawn ones included.
+        """Return a rule with its history, also if it is withdrawn.
 
         Raises:
-            AlderhatchError: ``not_found`` if there never was one, as far as is known.
+            AlderhatchError: ``not_found`` if there is neither such a rule nor a history of it.
         """
         state = self._host.state
         position = state.rule_store.position(name)
         events = state.rule_store.events(name)
         if position is None and not events:
-            failure = Failure(ErrorKind.NOT_FOUND, f"there is no rule {name!r}", "name")
+            failure = Failure(ErrorKind.NOT_FOUND, f"no rule {name!r}", "name")
             raise AlderhatchError(failure)
         rule = None if position is None else state.rule_store.rules.rules[position - 1]
         return {
@@ -81,14 +81,14 @@
         }
 
     def explain(self, request: Request) -> dict[str, object]:
-        """Return which rule takes a request, and why the earlier ones do not."""
+        """Return which rule matches a request, and why the earlier ones do not."""
         state = self._host.state
-        found = state.rule_store.rules.explain(request)
+        explanation = state.rule_store.rules.explain(request)
         return {
             "revision": state.revision,
-            "rule": rule_to_plain(found.rule),
-            "position": found.position,
-            "passed_over": [list(pair) for pair in found.passed_over],
+            "rule": rule_to_plain(explanation.rule),
+            "position": explanation.position,
+            "passed_over": [list(pair) for pair in explanation.passed_over],
         }
 
     def settings(self) -> dict[str, object]:
@@ -97,7 +97,7 @@
         return {"revision": state.revision, "settings": settings_to_plain(state.settings)}
 
     def hosts(self) -> dict[str, object]:
-        """Return entries, control hosts and leaving servers."""
+        """Return the entries, the control hosts and the leaving servers."""
         state = self._host.state
         status = self._host.log.status()
         leaving = state.hosts.leaving_servers
@@ -112,28 +112,37 @@
         }
 
     def quarantines(self) -> dict[str, object]:
-        """Return quarantined and suspect bodies."""
+        """Return the quarantined and the suspect request bodies by fingerprint."""
         crashes = self._host.state.crashes
         suspects = list(crashes.suspects.items())[-MAX_SUSPECTS_SHOWN:]
         return {
             "quarantines": [
                 {
-                    "fingerprint": one.fingerprint,
-                    "since_ms": one.since,
-                    "until_ms": one.until,
-                    "servers": list(one.servers),
+                    "fingerprint": quarantine.fingerprint,
+                    "since_ms": quarantine.since,
+                    "until_ms": quarantine.until,
+                    "servers": list(quarantine.servers),
                 }
-                for one in crashes.quarantines
+                for quarantine in crashes.quarantines
             ],
             "suspects": [
-                {"fingerprint": key, "crashes": len(found), "last_ms": found[-1].at}
-                for key, found in suspects
-                if found
+                {
+                    "fingerprint": fingerprint,
+                    "crashes": len(crash_reports),
+                    "last_ms": crash_reports[-1].at,
+                }
+                for fingerprint, crash_reports in suspects
+                if crash_reports
             ],
         }
 
     def history(self, before: int | None, limit: int) -> dict[str, object]:
-        """Return one page of the history."""
+        """Return a page of the history.
+
+        Args:
+            before: Return only changes before this revision; None starts at the newest.
+            limit: The largest number of changes.
+        """
         state = self._host.state
         items = state.change_history.page(before, limit)
         return {
@@ -143,7 +152,7 @@
         }
 
     def status(self) -> dict[str, object]:
-        """Return where this host stands."""
+        """Return the status of this host's log, state and leadership."""
         status = self._host.log.status()
         state = self._host.state
         leadership = self._host.leadership
@@ -160,7 +169,7 @@
         }
 
     def dump(self) -> dict[str, object]:
-        """Return all that a person on call may want, bounded and without secrets."""
+        """Return status, hosts and state for debugging, bounded in size and without secrets."""
         return {"status": self.status(), "hosts": self.hosts(), "state": self._host.state.to_dump()}
 
     def _entry_row(self, record: EntryRecord) -> dict[str, Any]:
--- a/src/alderhatch/control/app.py
+++ b/src/alderhatch/control/app.py
@@ -1,4 +1,4 @@
-"""The control process as a program: data folder, log, sockets and signals."""
+"""The control program: data folder, replicated log, sockets and signals."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from .observed_state import ObservedState
 from .operator_keys import KeyFileError, OperatorKeys, load_keys
 
-HAND_OVER_TIMEOUT: Millis = 2 * SECOND
+LEADERSHIP_TRANSFER_TIMEOUT: Millis = 2 * SECOND
 
 
 async def run_control(
@@ -34,17 +34,17 @@
     *,
     task_status: trio.TaskStatus[ControlAddresses] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run a control host until SIGTERM or SIGINT; a leader hands over before it ends.
+    """Run a control host until SIGTERM or SIGINT; a leader transfers leadership before it exits.
 
     Args:
         cfg: The settings.
-        task_status: Told the ports once the host listens.
+        task_status: Started with the ports once the host listens.
 
     Raises:
-        AlderhatchError: ``storage_failed`` if the data folder is in use, damaged or foreign,
-            ``bad_request`` if the operators' key file has a mistake.
-        OSError: If an address can't be listened on, or the data folder not be used.
-        SettingsFaultsError: If the secret can't be used.
+        AlderhatchError: ``storage_failed`` if the data folder is in use, damaged or belongs to
+            another host, ``bad_request`` if the operators' key file has an error.
+        OSError: If an address can't be bound or the data folder can't be used.
+        SettingsFaultsError: If the secret can't be read or is invalid.
     """
     secret = read_secret(cfg.secret_file)
     keys = _load_keys(cfg)
@@ -92,8 +92,8 @@
 ) -> None:
     await wait_for_stop(signals)
     if node.is_leader:
-        # Without a hand-over the others notice only after an election timeout that nobody leads,
-        # and every change and claim waits for that long on each planned restart.
-        with trio.move_on_after(HAND_OVER_TIMEOUT / SECOND), suppress(AlderhatchError):
+        # Without the transfer, each planned restart of the leader would delay all changes and
+        # claims by an election timeout, after which the other hosts notice the missing leader.
+        with trio.move_on_after(LEADERSHIP_TRANSFER_TIMEOUT / SECOND), suppress(AlderhatchError):
             await node.transfer_leadership()
     scope.cancel()
--- a/src/alderhatch/control/control_host.py
+++ b/src/alderhatch/control/control_host.py
@@ -1,4 +1,4 @@
-"""One control host: the state on its log, and whoever asks something of it."""
+"""A control host: answers renewals and operations as the leader or relays them to it."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from .observed_state import ObservedState
 from .proposer import Proposer
 
-ROLE_INTERVAL: Millis = 250.0
-"""How often the host looks whether it leads if nothing tells it."""
-LEASE_INTERVAL: Millis = 10.0
-"""How often a host that was elected looks whether its lease holds."""
+ROLE_CHECK_INTERVAL: Millis = 250.0
+"""Longest time between two checks of the role if no change is notified."""
+LEASE_CHECK_INTERVAL: Millis = 10.0
+"""Interval at which a newly elected host checks for its leader lease."""
 
 
 class ControlHost:
-    """Answers renewals and operations itself while it leads, and passes them on while it does not.
+    """Answers renewals and operations while it is the leader, and otherwise relays them.
 
-    It knows no sockets; ``leader_link`` is where they begin.
+    It uses no sockets itself; ``leader_link`` connects to the leader.
     """
 
     def __init__(
@@ -41,42 +41,44 @@
         lease: Millis,
         clock: Clock,
         role_changed: Signal,
-        wall: Clock | None = None,
+        wall_clock: Clock | None = None,
     ) -> None:
-        """Prepare; ``run`` does the work.
+        """Initialize the host; ``run`` does the work.
 
         Args:
-            log: The replicated log, which drives ``observed``.
+            log: The replicated log, which applies its commands to ``observed``.
             observed: The state.
-            leader_link: The way to the leader while that is another host.
+            leader_link: The link to the leader while that is another host.
             lease: How long an entry may serve after it sent its renewal.
-            clock: Steady time.
+            clock: A monotonic clock.
             role_changed: Notified when the log's role, term or leader changes.
-            wall: Milliseconds since 1970; the host's own if none is given.
+            wall_clock: Milliseconds since 1970; the clock of the system if None.
         """
         self.log = log
         """The replicated log."""
         self.observed = observed
-        """The state with its signal."""
+        """The state, with a signal for new versions."""
         self.leadership: Leadership | None = None
-        """Set while this host leads and has applied all that was accepted before."""
+        """Set while this host is the leader and has applied all commands accepted before."""
         self.lease = lease
-        """How long entries' leases are, in milliseconds."""
+        """The duration of the leases of entries, in milliseconds."""
         self._leader_link = leader_link
-        self._time = CommandClock(clock, wall or WallClock())
-        self.proposer = Proposer(log, self._time)
-        """Puts operations on the log."""
-        self._services = LeadershipDependencies(log, observed, self.proposer, clock, self._time)
+        self._command_clock = CommandClock(clock, wall_clock or WallClock())
+        self.proposer = Proposer(log, self._command_clock)
+        """Appends operations to the log."""
+        self._dependencies = LeadershipDependencies(
+            log, observed, self.proposer, clock, self._command_clock
+        )
         self._role_changed = role_changed
         self._nursery: trio.Nursery | None = None
 
     @property
     def state(self) -> ControlState:
-        """The state as this host has applied it."""
+        """The state that this host has applied."""
         return self.observed.state
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Work until cancelled."""
+        """Run until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self.proposer.run)
@@ -85,27 +87,27 @@
             task_status.started()
 
     async def renew(self, renewal: Renewal) -> GrantResult:
-        """Get the leader's answer to an entry's renewal.
+        """Return the leader's answer to the renewal of an entry.
 
         Raises:
-            AlderhatchError: ``no_leader`` if there is none.
+            AlderhatchError: ``no_leader`` if there is no leader.
         """
         if self.leadership is None:
             return await self._leader_link.renew(renewal)
         return self.renew_locally(renewal)
 
     def renew_locally(self, renewal: Renewal) -> GrantResult:
-        """Decide on a renewal as the leader.
+        """Answer a renewal as the leader.
 
         Raises:
-            AlderhatchError: ``no_leader`` if this host does not lead.
+            AlderhatchError: ``no_leader`` if this host is not the leader.
         """
-        leadership = self._leading()
+        leadership = self._require_leadership()
         grant = leadership.renew(renewal, self._start_registration)
         return GrantResult(leadership.term, grant)
 
     async def submit_operations(self, operations: list[bytes]) -> list[bytes]:
-        """Put encoded operations on the log, here or at the leader; return their answers.
+        """Append encoded operations to the log, here or through the leader; return the answers.
 
         Raises:
             AlderhatchError: See ``Proposer.submit``.
@@ -115,18 +117,20 @@
         return await self.submit_operations_locally(operations)
 
     async def submit_operations_locally(self, operations: Sequence[bytes]) -> list[bytes]:
-        """Put encoded operations on the log as the leader.
+        """Append encoded operations to the log as the leader; return the encoded answers.
 
         Raises:
             AlderhatchError: See ``Proposer.submit``.
         """
-        self._leading()
+        self._require_leadership()
         answers = await self.proposer.submit(operations)
         return [ANSWERS_CODEC.encode(answer) for answer in answers]
 
-    def _leading(self) -> Leadership:
+    def _require_leadership(self) -> Leadership:
         if self.leadership is None:
-            raise AlderhatchError(Failure(ErrorKind.NO_LEADER, "this host does not lead"))
+            raise AlderhatchError(
+                Failure(ErrorKind.NO_LEADER, "this control host is not the leader")
+            )
         return self.leadership
 
     def _start_registration(self, entry: RegisterEntry) -> None:
@@ -136,33 +140,33 @@
     async def _watch_role(self) -> None:
         try:
             while True:
-                await self._follow_role()
+                await self._update_leadership()
                 waits_for_lease = self.leadership is None and self.log.status().role == "leader"
-                interval = LEASE_INTERVAL if waits_for_lease else ROLE_INTERVAL
+                interval = LEASE_CHECK_INTERVAL if waits_for_lease else ROLE_CHECK_INTERVAL
                 await self._role_changed.wait_for(interval)
         finally:
             self._end_leadership()
 
-    async def _follow_role(self) -> None:
+    async def _update_leadership(self) -> None:
         status = self.log.status()
-        leads = status.role == "leader"
+        is_leader = status.role == "leader"
         current = self.leadership
-        if current is not None and (not leads or status.term != current.term):
+        if current is not None and (not is_leader or status.term != current.term):
             self._end_leadership()
-        if leads and self.leadership is None and self.log.holds_lease():
+        if is_leader and self.leadership is None and self.log.holds_lease():
             await self._begin_leadership(status.term)
 
     async def _begin_leadership(self, term: int) -> None:
-        # All that earlier leaders accepted has to be applied here first. A grant given before
-        # would hand out an older version, and an entry would be told that it is up to date.
+        # Everything that earlier leaders accepted has to be applied here first. Otherwise a grant
+        # would carry an older version, and an entry would take outdated rules for current.
         try:
             await self.log.read_barrier()
         except AlderhatchError:
             return
         if self.log.status().term != term or not self.log.holds_lease():
             return
-        self._time.begin_term(self.state.now)
-        self.leadership = Leadership(self._services, self.lease)
+        self._command_clock.begin_term(self.state.now)
+        self.leadership = Leadership(self._dependencies, self.lease)
         log_event(LogEvent.CONTROL_LEADS, term=term, revision=self.state.revision)
         if self._nursery is not None:
             self._nursery.start_soon(self.leadership.run)
--- a/src/alderhatch/control/control_metrics.py
+++ b/src/alderhatch/control/control_metrics.py
@@ -1,4 +1,4 @@
-"""The numbers that a control host shows to Prometheus."""
+"""Prometheus metrics of a control host."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ControlMetrics:
-    """Counts changes; the rest is read from the host when somebody asks for the page.
+    """Counts changes; the other metrics are read from the host when the page is rendered.
 
     Args:
         host: The control host.
@@ -24,16 +24,16 @@
         self._metrics.add_source(self._copy_log)
         self._metrics.add_source(self._copy_state)
 
-    def count_change(self, answer: Answer) -> None:
-        """Count the answer to an operator's change; one given again counts again."""
+    def record_change(self, answer: Answer) -> None:
+        """Count the answer to an operator's change; a repeated answer counts again."""
         match answer:
             case ChangeAccepted():
                 self._metrics.inc(Metric.CONTROL_CHANGES, ACCEPTED)
             case ChangeRefused(kind=kind):
                 self._metrics.inc(Metric.CONTROL_CHANGES, kind)
 
-    def page(self) -> MetricsPage:
-        """Return the page in Prometheus' text format."""
+    def render_page(self) -> MetricsPage:
+        """Return the metrics in the text format of Prometheus."""
         return self._metrics.render()
 
     def _copy_log(self) -> None:
@@ -64,7 +64,7 @@
         }
         for metric, value in copied.items():
             self._metrics.set(metric, value)
-        # A former leader's last count would go on being shown, and look like entries that serve.
+        # Without this a former leader would still show its last count, as if the entries were live.
         self._metrics.clear(Metric.CONTROL_ENTRIES_LIVE)
         if leadership is not None:
             self._metrics.set(Metric.CONTROL_ENTRIES_LIVE, leadership.live_entry_count())
--- a/src/alderhatch/control/control_server.py
+++ b/src/alderhatch/control/control_server.py
@@ -1,4 +1,4 @@
-"""A control host on its sockets: links, operator API, and the announcement of both."""
+"""The sockets of a control host: links, operator API, and the announcement of its addresses."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 MAX_LINKS = 1024
 OPERATOR_LIMITS = HttpLimits(connections=64, request_timeout=10 * SECOND)
-ANNOUNCE_RETRY: Millis = 200.0
+ANNOUNCE_RETRY_INTERVAL: Millis = 200.0
 
 
 class ControlAddresses(NamedTuple):
-    """Where a control host listens, with the ports that the kernel chose."""
+    """The ports on which a control host listens."""
 
     link_port: int
     operator_port: int
 
 
 class ControlServer:
-    """Everything of a control host but the replicated log itself."""
+    """A control host with its servers, without the replicated log itself."""
 
     def __init__(
         self,
@@ -51,15 +51,16 @@
         codec: Codec | None = None,
         role_changed: Signal | None = None,
     ) -> None:
-        """Prepare; ``run`` listens.
+        """Initialize the server; ``run`` listens.
 
         Args:
             cfg: The host's settings.
-            log: The replicated log, which drives ``observed``.
+            log: The replicated log, which applies its commands to ``observed``.
             observed: The state.
-            secret: The secret shared by our own processes.
+            secret: The secret shared by all processes of the tier.
             keys: The operators' keys.
-            codec: The messages of the links, with those of the log among them.
+            codec: The codec of the links, including the messages of the log; one for
+                ``CONTROL_MESSAGES`` alone if None.
             role_changed: Notified when the log's role, term or leader changes.
         """
         self._cfg = cfg
@@ -81,18 +82,18 @@
         """Serve until cancelled.
 
         Args:
-            task_status: Told the ports when the host listens.
+            task_status: Started with the ports once the host listens.
         """
         cfg = self._cfg
         links = await listen(cfg.links.address, cfg.links.port)
         operators = await listen(cfg.operators.address, cfg.operators.port)
         addresses = ControlAddresses(_port(links), _port(operators))
-        me = Peer(cfg.name, "control")
+        own_peer = Peer(cfg.name, "control")
         handler = LinkServer(self.host).handle
         async with trio.open_nursery() as nursery:
             await nursery.start(self.host.run)
             await nursery.start(
-                serve_links, links, self._codec, self._secret, me, handler, MAX_LINKS
+                serve_links, links, self._codec, self._secret, own_peer, handler, MAX_LINKS
             )
             await nursery.start(serve_http, operators, self._api.handle, OPERATOR_LIMITS)
             nursery.start_soon(self._announce, addresses)
@@ -117,7 +118,7 @@
         return None
 
     async def _announce(self, addresses: ControlAddresses) -> None:
-        """Say once for each start where this host is; that also ends a planned stop of it."""
+        """Write this host's addresses to the log at its start; this also ends a planned stop."""
         cfg = self._cfg
         operation = AnnounceControl(
             cfg.name,
@@ -132,7 +133,7 @@
                 await self.host.submit_operations([OPERATIONS.encode(operation)])
                 return
             except AlderhatchError:
-                await trio.sleep(ANNOUNCE_RETRY / SECOND)
+                await trio.sleep(ANNOUNCE_RETRY_INTERVAL / SECOND)
 
 
 async def listen(address: str, port: int) -> list[trio.SocketListener]:
--- a/src/alderhatch/control/link_server.py
+++ b/src/alderhatch/control/link_server.py
@@ -1,4 +1,4 @@
-"""Serves the links of entries and of other control hosts."""
+"""Server for the links of entries and of other control hosts."""
 
 from __future__ import annotations
 
@@ -37,27 +37,27 @@
 from .control_host import ControlHost
 
 APPLY_TIMEOUT: Millis = 1 * SECOND
-"""How long a follower may be behind the version that the leader asks an entry to have."""
-MAX_CALLS = 256
-"""Messages of one link that are being worked on; further ones wait unread."""
+"""How long a follower waits to apply the version of a grant before it refuses the renewal."""
+MAX_MESSAGES_IN_PROGRESS = 256
+"""Messages of one link that are handled at the same time; further ones stay unread."""
 MAX_PUSHED_BYTES = 4096
-"""News of more than this come with the grant only, which may go out at the same moment."""
-NO_ANSWER = Grant(-1, 0.0, 0, 0, "")
-"""Stands for a renewal that gets no answer among those that do."""
+"""Larger updates are not pushed but sent with the next grant, which may follow at once."""
+NO_GRANT = Grant(-1, 0.0, 0, 0, "")
+"""Placeholder in a batch of grants for a renewal that gets no answer."""
 
 
-class _Told:
-    """The newest version that an entry was sent or nudged about."""
+class _SentVersion:
+    """The newest version that an entry was sent or notified of."""
 
     def __init__(self, version: int) -> None:
         self.version = version
 
 
-_OnMessage: TypeAlias = Callable[[Link, object, _Told], Awaitable[None]]
+_OnMessage: TypeAlias = Callable[[Link, object, _SentVersion], Awaitable[None]]
 
 
 class LinkServer:
-    """Handles each link according to the role that its peer has proved."""
+    """Serves each link according to the authenticated role of its peer."""
 
     def __init__(self, host: ControlHost) -> None:
         self._host = host
@@ -75,53 +75,53 @@
                 log_event(LogEvent.LINK_ROLE_REFUSED, peer=link.peer.name, role=role)
 
     async def _serve(self, link: Link, on_message: _OnMessage) -> None:
-        room = trio.Semaphore(MAX_CALLS)
+        slots = trio.Semaphore(MAX_MESSAGES_IN_PROGRESS)
         async with trio.open_nursery() as nursery:
-            told = _Told(self._host.state.feed.version)
+            sent = _SentVersion(self._host.state.feed.version)
             if link.peer.role == "entry":
-                nursery.start_soon(self._nudge, link, told)
+                nursery.start_soon(self._push_updates, link, sent)
             try:
                 while True:
                     message = await link.receive()
-                    await room.acquire()
-                    nursery.start_soon(_quietly, on_message, link, message, told, room)
+                    await slots.acquire()
+                    nursery.start_soon(_handle_message, on_message, link, message, sent, slots)
             except LinkClosedError:
                 nursery.cancel_scope.cancel()
 
-    async def _nudge(self, link: Link, told: _Told) -> None:
-        """Tell an entry of a newer version than it was sent, at once unless it just was told."""
-        next_at = 0.0
+    async def _push_updates(self, link: Link, sent: _SentVersion) -> None:
+        """Notify an entry of new versions, at most once per minimum renewal interval."""
+        next_push_at = 0.0
         try:
             while True:
                 state = self._host.state
-                if state.feed.version <= told.version:
+                if state.feed.version <= sent.version:
                     await self._host.observed.version_changed.wait()
                     continue
-                if trio.current_time() < next_at:
-                    await trio.sleep_until(next_at)
+                if trio.current_time() < next_push_at:
+                    await trio.sleep_until(next_push_at)
                     continue
-                updates = state.feed.since(told.version) or []
+                updates = state.feed.since(sent.version) or []
                 if sum(map(len, updates)) > MAX_PUSHED_BYTES:
                     updates = []
-                told.version = state.feed.version
-                gap = min_renewal_interval(len(state.hosts.entries))
-                next_at = trio.current_time() + gap / SECOND
-                await link.send(Nudge(told.version, updates))
+                sent.version = state.feed.version
+                interval = min_renewal_interval(len(state.hosts.entries))
+                next_push_at = trio.current_time() + interval / SECOND
+                await link.send(Nudge(sent.version, updates))
         except LinkClosedError:
             return
 
-    async def _on_entry_message(self, link: Link, message: object, told: _Told) -> None:
+    async def _on_entry_message(self, link: Link, message: object, sent: _SentVersion) -> None:
         match message:
             case Renewal() if message.name == link.peer.name:
-                await self._renew(link, message, told)
+                await self._renew(link, message, sent)
             case Operations(number, operations):
-                problem = _first_problem(operations, link.peer.name)
-                await self._operate(link, number, operations, problem)
+                refusal_reason = _find_refusal_reason(operations, link.peer.name)
+                await self._submit(link, number, operations, refusal_reason)
             case _:
                 log_event(LogEvent.LINK_ROLE_REFUSED, peer=link.peer.name, role="entry")
                 await link.aclose()
 
-    async def _renew(self, link: Link, renewal: Renewal, told: _Told) -> None:
+    async def _renew(self, link: Link, renewal: Renewal, sent: _SentVersion) -> None:
         try:
             term, grant = await self._host.renew(renewal)
         except AlderhatchError as exc:
@@ -130,18 +130,22 @@
         if grant is None:
             return
         if not await self._host.observed.wait_for_version(grant.version, APPLY_TIMEOUT):
-            await link.send(RenewalFailed(renewal.sequence, "this control host is behind"))
+            await link.send(
+                RenewalFailed(
+                    renewal.sequence, "this control host has not applied the granted version yet"
+                )
+            )
             return
-        told.version = max(told.version, self._host.state.feed.version)
+        sent.version = max(sent.version, self._host.state.feed.version)
         updates = self._host.state.updates_since(renewal.version)
         await link.send(GrantReply(term, grant, updates))
 
-    async def _operate(
-        self, link: Link, number: int, operations: list[bytes], problem: str | None
+    async def _submit(
+        self, link: Link, number: int, operations: list[bytes], refusal_reason: str | None
     ) -> None:
-        if problem is not None:
-            log_event(LogEvent.LINK_ROLE_REFUSED, peer=link.peer.name, why=problem)
-            await link.send(OperationsFailed(number, str(ErrorKind.FORBIDDEN), problem))
+        if refusal_reason is not None:
+            log_event(LogEvent.LINK_ROLE_REFUSED, peer=link.peer.name, why=refusal_reason)
+            await link.send(OperationsFailed(number, str(ErrorKind.FORBIDDEN), refusal_reason))
             return
         try:
             answers = await self._host.submit_operations(operations)
@@ -151,28 +155,28 @@
             return
         await link.send(OperationAnswers(number, answers))
 
-    async def _on_relay_message(self, link: Link, message: object, told: _Told) -> None:
+    async def _on_relay_message(self, link: Link, message: object, sent: _SentVersion) -> None:
         match message:
             case RelayedRenewals(number, renewals):
-                await link.send(self._grant_all(number, renewals))
+                await link.send(self._grant_relayed(number, renewals))
             case Operations(number, operations):
-                await self._operate_here(link, number, operations)
+                await self._submit_locally(link, number, operations)
             case _:
                 log_event(LogEvent.LINK_ROLE_REFUSED, peer=link.peer.name, role="relay")
                 await link.aclose()
 
-    def _grant_all(self, number: int, renewals: list[Renewal]) -> RelayedGrants | RelayFailed:
+    def _grant_relayed(self, number: int, renewals: list[Renewal]) -> RelayedGrants | RelayFailed:
         grants: list[Grant] = []
         term = 0
         try:
             for renewal in renewals:
                 term, grant = self._host.renew_locally(renewal)
-                grants.append(grant or NO_ANSWER)
+                grants.append(grant or NO_GRANT)
         except AlderhatchError as exc:
             return RelayFailed(number, exc.failure.message)
         return RelayedGrants(number, term, grants)
 
-    async def _operate_here(self, link: Link, number: int, operations: list[bytes]) -> None:
+    async def _submit_locally(self, link: Link, number: int, operations: list[bytes]) -> None:
         try:
             answers = await self._host.submit_operations_locally(operations)
         except AlderhatchError as exc:
@@ -182,8 +186,8 @@
         await link.send(OperationAnswers(number, answers))
 
 
-def _first_problem(operations: list[bytes], entry: str) -> str | None:
-    """Return why an entry may not ask for these operations, or None if it may."""
+def _find_refusal_reason(operations: list[bytes], entry: str) -> str | None:
+    """Return why an entry may not submit these operations, or None if it may."""
     for data in operations:
         try:
             operation = OPERATIONS.decode(data)
@@ -197,16 +201,16 @@
             case RemoveEntries(entries) if all(key.name == entry for key in entries):
                 continue
             case _:
-                return f"{type(operation).__name__} is not for this entry to ask for"
+                return f"operation {type(operation).__name__} is not permitted for this entry"
     return None
 
 
-async def _quietly(
-    on_message: _OnMessage, link: Link, message: object, told: _Told, room: trio.Semaphore
+async def _handle_message(
+    on_message: _OnMessage, link: Link, message: object, sent: _SentVersion, slots: trio.Semaphore
 ) -> None:
     try:
-        await on_message(link, message, told)
+        await on_message(link, message, sent)
     except LinkClosedError:
         return
     finally:
-        room.release()
+        slots.release()
--- a/src/alderhatch/control/observed_state.py
+++ b/src/alderhatch/control/observed_state.py
@@ -1,4 +1,4 @@
-"""The control state as the log drives it, with a signal for those who wait for a version."""
+"""The control state that the log applies its commands to, with a signal for new versions."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class ObservedState:
-    """The state machine handed to the log; it tells when the state has moved."""
+    """The state machine of the replicated log; notifies of changes of the version."""
 
     def __init__(self) -> None:
         self.state = ControlState()
-        """The state itself; changed by the log alone."""
+        """The state; only the log changes it."""
         self.version_changed = Signal()
-        """Notified when the feed's version has changed."""
+        """Notified when the version of the feed changes, and after ``restore``."""
 
     def apply(self, index: int, command: bytes) -> list[Answer]:
         """Apply one command; see ``ControlState.apply``."""
@@ -26,16 +26,24 @@
         return answers
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the encoded state."""
         return self.state.snapshot()
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by an earlier snapshot."""
+        """Replace the state with that of a snapshot."""
         self.state.restore(data)
         self.version_changed.notify()
 
     async def wait_for_version(self, version: int, timeout: Millis) -> bool:
-        """Wait until this host has applied a version; return whether it has in time."""
+        """Wait until this host has applied a version.
+
+        Args:
+            version: The version of the feed.
+            timeout: The longest wait for each further change of the version.
+
+        Returns:
+            Whether the version is applied.
+        """
         while self.state.feed.version < version:
             if not await self.version_changed.wait_for(timeout):
                 return self.state.feed.version >= version
--- a/src/alderhatch/control/operator_api.py
+++ b/src/alderhatch/control/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator API over HTTP and JSON; docs/OPERATOR-API.md is its page."""
+"""The operator API over HTTP and JSON, documented in docs/OPERATOR-API.md."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from .control_metrics import ControlMetrics
 from .operator_keys import Operator, OperatorKeys, OperatorRole
 
-VERSION = "v1"
-SHOWN_PATH = 100
-"""How many characters of a path that nobody knows are shown."""
+API_VERSION = "v1"
+MAX_LOGGED_PATH_CHARS = 100
+"""Largest number of characters of a refused path that are logged or returned."""
 
 
 class OperatorApi:
-    """Answers operators' requests on one control host."""
+    """Handles the requests of operators on one control host."""
 
     def __init__(self, host: ControlHost, keys: OperatorKeys, name: str, zone: str) -> None:
         self._keys = keys
@@ -33,10 +33,10 @@
         self._routes = [*reads.routes(), *changes.routes()]
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request.
+        """Authenticate, route and answer one request.
 
         Raises:
-            AlderhatchError: With the kind that the table of errors turns into the answer.
+            AlderhatchError: If the request fails; the kind defines the response.
         """
         if req.path == "/healthz":
             return json_response(200, {"ok": True})
@@ -44,13 +44,13 @@
             ready = self._views.ready()
             return json_response(200 if ready else 503, {"ready": ready})
         if req.path == "/metrics":
-            page = self._metrics.page()
+            page = self._metrics.render_page()
             return HttpResponse(200, page.body, page.content_type)
         operator = self._find_operator(req)
         route, name = self._find_route(req)
         if route.role is OperatorRole.CHANGE and operator.role is not OperatorRole.CHANGE:
             log_event(LogEvent.OPERATOR_REFUSED, who=operator.name, path=req.path)
-            message = f"the key of {operator.name} is for reading only"
+            message = f"the key of {operator.name} permits reading only"
             raise AlderhatchError(Failure(ErrorKind.FORBIDDEN, message))
         try:
             return await route.handler(OperatorCall(req, operator, name))
@@ -61,16 +61,16 @@
 
     def _find_operator(self, req: HttpRequest) -> Operator:
         try:
-            return self._keys.find(req.headers)
+            return self._keys.authenticate(req.headers)
         except AlderhatchError:
-            log_event(LogEvent.OPERATOR_REFUSED, path=req.path[:SHOWN_PATH])
+            log_event(LogEvent.OPERATOR_REFUSED, path=req.path[:MAX_LOGGED_PATH_CHARS])
             raise
 
     def _find_route(self, req: HttpRequest) -> tuple[Route, str]:
         version, *parts = [unquote(part) for part in req.path.split("/")[1:]] or [""]
-        if version == VERSION:
+        if version == API_VERSION:
             for route in self._routes:
-                if route.fits(req.method, parts):
-                    return route, route.name_in(parts)
-        message = f"there is no {req.method} {req.path[:SHOWN_PATH]}"
+                if route.matches(req.method, parts):
+                    return route, route.extract_name(parts)
+        message = f"no resource at {req.method} {req.path[:MAX_LOGGED_PATH_CHARS]}"
         raise AlderhatchError(Failure(ErrorKind.NOT_FOUND, message, "path"))
--- a/src/alderhatch/control/operator_keys.py
+++ b/src/alderhatch/control/operator_keys.py
@@ -1,4 +1,4 @@
-"""Operators' keys and what each may do."""
+"""The keys of operators and their roles."""
 
 from __future__ import annotations
 
@@ -15,73 +15,75 @@
 
 
 class OperatorRole(StrEnum):
-    """What a key is good for."""
+    """What a key permits."""
 
     READ = "read"
     CHANGE = "change"
-    """Everything, reading included."""
+    """Changes and reading."""
 
 
 class Operator(NamedTuple):
-    """Who a key belongs to."""
+    """The holder of a key, with its role."""
 
     name: str
     role: OperatorRole
 
 
 class KeyFileError(Exception):
-    """The key file has a line that is no key; the message names the line, never the key."""
+    """The key file can't be read or has an invalid line; the message never contains a key."""
 
 
 class OperatorKeys:
-    """The keys of one key file."""
+    """The operators by key, as listed in a key file."""
 
     def __init__(self, keys: Mapping[str, Operator]) -> None:
         self._keys = [(key.encode(), operator) for key, operator in keys.items()]
 
-    def find(self, headers: Mapping[str, str]) -> Operator:
-        """Return the operator whose key a request carries.
+    def authenticate(self, headers: Mapping[str, str]) -> Operator:
+        """Return the operator whose key a request contains.
 
         Args:
             headers: The request's header fields with lower-case names.
 
         Raises:
-            AlderhatchError: ``unauthorized`` if there is no key or nobody has it.
+            AlderhatchError: ``unauthorized`` if the key is missing or unknown.
         """
-        value = headers.get("authorization", "")
+        header = headers.get("authorization", "")
         found: Operator | None = None
-        if value[: len(_SCHEME)].lower() == _SCHEME:
-            given = value[len(_SCHEME) :].strip().encode()
-            # Comparing up to the first difference, or stopping at the first match, lets a caller
-            # find a key byte by byte from how long the refusal takes.
+        if header[: len(_SCHEME)].lower() == _SCHEME:
+            presented_key = header[len(_SCHEME) :].strip().encode()
+            # The comparison takes constant time and covers all keys. If it ended at the first
+            # difference or match, a caller could guess a key byte by byte from the response time.
             for key, operator in self._keys:
-                if hmac.compare_digest(key, given):
+                if hmac.compare_digest(key, presented_key):
                     found = operator
         if found is None:
-            raise AlderhatchError(Failure(ErrorKind.UNAUTHORIZED, "no key, or not a known one"))
+            raise AlderhatchError(
+                Failure(ErrorKind.UNAUTHORIZED, "operator key missing or unknown")
+            )
         return found
 
 
 def parse_keys(text: str) -> OperatorKeys:
-    """Read the lines ``operator role key`` of a key file.
+    """Parse the lines ``operator role key`` of a key file.
 
     Raises:
-        KeyFileError: With the number of the first line at fault.
+        KeyFileError: With the number of the first invalid line.
     """
     keys: dict[str, Operator] = {}
     for number, line in enumerate(text.splitlines(), start=1):
-        words = line.split("#", 1)[0].split()
-        if not words:
+        fields = line.split("#", 1)[0].split()
+        if not fields:
             continue
-        if len(words) != 3:
+        if len(fields) != 3:
             raise KeyFileError(f"line {number}: expected three words: operator, role, key")
-        name, role, key = words
+        name, role, key = fields
         if role not in tuple(OperatorRole):
-            raise KeyFileError(f"line {number}: the role is read or change")
+            raise KeyFileError(f"line {number}: expected the role read or change")
         if len(key) < MIN_KEY_LENGTH:
             raise KeyFileError(f"line {number}: the key has under {MIN_KEY_LENGTH} characters")
         if key in keys:
-            raise KeyFileError(f"line {number}: the key stands in the file twice")
+            raise KeyFileError(f"line {number}: the key occurs a second time")
         keys[key] = Operator(name, OperatorRole(role))
     return OperatorKeys(keys)
 
@@ -90,7 +92,7 @@
     """Read a key file.
 
     Raises:
-        KeyFileError: If it can't be read or has a line at fault.
+        KeyFileError: If the file can't be read or has an invalid line.
     """
     try:
         text = path.read_text(encoding="utf-8")
