--- a/features/control_operators.feature
+++ b/features/control_operators.feature
@@ -1,7 +1,7 @@
 Feature: The operator API
 
-  Scenario Outline: What a key may do
-    # A key that is guessed, withdrawn or meant for looking only must change nothing.
+  Scenario Outline: What a key permits
+    # A request with a guessed, revoked or read-only key must not change anything.
     When operator "<who>" sends <method> <path> to control
     Then control answers <status> with "<kind>"
 
@@ -48,7 +48,7 @@
     When an operator sends a body of 2 MiB
     Then control answers 413 with "too_large"
 
-  Scenario Outline: A key file with a mistake is refused without showing the key
+  Scenario Outline: An invalid key file is refused without showing the key
     When the key file has the line "<line>"
     Then it is refused with "<message>" and the key is not shown
 
--- a/features/control_tier.feature
+++ b/features/control_tier.feature
@@ -1,29 +1,30 @@
-Feature: Control hosts together, with real files and sockets
+Feature: Several control hosts with real files and sockets
 
-  Scenario: Two operators with equal numbers at two control hosts
-    # Both look at revision 0 and send at the same moment, one of them to a host that does not lead.
-    Then of two operators at two control hosts exactly one wins and the other sees what won
+  Scenario: Two operators with equal expected revisions at two control hosts
+    # Both expect revision 0 and send a change at the same time, one of them to a host that is not
+    # the leader.
+    Then exactly one of two concurrent changes is accepted and the other operator is shown it
 
-  Scenario: A change is sent again after its leader was lost
-    # The operator's connection broke before the answer. The change may be accepted or not; sent
-    # again to the next leader, it must not be applied twice nor meet a conflict with itself.
+  Scenario: A change is resent after its leader was lost
+    # The operator's connection breaks before the answer, so the change may be accepted or not.
+    # Resent to the next leader, it must neither be applied twice nor conflict with itself.
     Then a change resent to the next leader gets its first answer
 
   Scenario: All control hosts restart after several hundred changes
-    # A power cut takes all of them. What was accepted has to be there again, with snapshots in
-    # between, and the changes of the last second too.
-    Then rules, revision, history and answers are there again after all hosts restart
+    # A power failure stops all hosts. All accepted changes have to be restored, those in snapshots
+    # as well as those of the last second.
+    Then rules, revision, history and answers are restored after all hosts restart
 
-  Scenario: A repaired control host, and a second one lost right after
-    # The disk of one host is gone, a new one takes its place, and then the old leader dies. If the
-    # new one had got its vote before it had the log, accepted changes would be lost now.
+  Scenario: A second control host is lost right after a repair
+    # The disk of one host is lost, a new host replaces it, and then the old leader fails. If the new
+    # host became a voter before it had the log, accepted changes would be lost.
     Then a second host can be lost right after a repair without losing a change
 
   Scenario: A planned stop of the leading control host
-    # Taken down without a hand-over, it would leave everyone without a leader for an election.
-    Then a stop planned for the leader moves the leadership before anything is stopped
+    # Stopped without a leadership transfer, it would leave the tier leaderless until an election.
+    Then a planned stop of the leader transfers the leadership before its host is stopped
 
-  Scenario: A control host is cut off silently and comes back
-    # The leader hears nobody and nobody hears it, while its connections stay open. If it went on
-    # granting leases, entries would serve by rules that the others have replaced.
-    Then a cut-off leader grants nothing, and takes no part in disturbing the others on its return
+  Scenario: The leader is partitioned and returns
+    # All messages to and from the leader are lost, while its connections stay open. If it still
+    # granted leases, entries would serve by rules that the other hosts have replaced.
+    Then a partitioned leader gives up its leadership, and does not disturb the others on its return
--- a/features/steps/control_operators_steps.py
+++ b/features/steps/control_operators_steps.py
@@ -12,11 +12,11 @@
 from alderhatch.control.operator_keys import KeyFileError, parse_keys
 from alderhatch.http.client import http_once
 from alderhatch.settings.models import ControlSettings, Endpoint, NamedEndpoint
-from features.support.control_tier import KEY_OF, KEYS, LOOPBACK, SECRET
+from features.support.control_tier import KEYS, KEYS_BY_OPERATOR, LOOPBACK, SECRET
 from features.support.memory_log import MemoryLog
 
-ADD = {"change_id": "c-1", "expected_revision": 0, "rule": {"name": "night", "then": {}}}
-HERE = Endpoint(address=LOOPBACK, port=0)
+ADD_RULE = {"change_id": "c-1", "expected_revision": 0, "rule": {"name": "night", "then": {}}}
+ANY_PORT = Endpoint(address=LOOPBACK, port=0)
 
 
 async def _exchange(context, method, path, body, key):
@@ -25,8 +25,8 @@
             name="control-1",
             zone="austin-hall",
             data_folder=Path(folder),
-            links=HERE,
-            operators=HERE,
+            links=ANY_PORT,
+            operators=ANY_PORT,
             peers=(NamedEndpoint(name="control-1", address=LOOPBACK, port=1),),
             secret_file=Path(folder),
             keys_file=Path(folder),
@@ -52,8 +52,8 @@
 
 @when('operator "{who}" sends {method} {path} to control')
 def step_operator_sends(context, who, method, path):
-    key = "a-key-that-nobody-has" if who == "stranger" else KEY_OF.get(who)
-    body = b"" if method in ("GET", "DELETE") else orjson.dumps(ADD)
+    key = "a-key-that-nobody-has" if who == "stranger" else KEYS_BY_OPERATOR.get(who)
+    body = b"" if method in ("GET", "DELETE") else orjson.dumps(ADD_RULE)
     if path == "/v1/explain":
         body = b"{}"
     trio.run(_exchange, context, method, path, body, key)
@@ -69,7 +69,7 @@
 
 @when("an operator sends the body {body} to {method} {path}")
 def step_malformed(context, body, method, path):
-    trio.run(_exchange, context, method, path, body.encode(), KEY_OF["anna"])
+    trio.run(_exchange, context, method, path, body.encode(), KEYS_BY_OPERATOR["anna"])
 
 
 @then('control answers {status:d} with "{kind}" at "{field}" and its state is unchanged')
@@ -82,8 +82,8 @@
 
 @when("an operator sends a body of 2 MiB")
 def step_large(context):
-    body = orjson.dumps(ADD | {"filler": "x" * (2 * 1024 * 1024)})
-    trio.run(_exchange, context, "POST", "/v1/rules", body, KEY_OF["anna"])
+    body = orjson.dumps(ADD_RULE | {"filler": "x" * (2 * 1024 * 1024)})
+    trio.run(_exchange, context, "POST", "/v1/rules", body, KEYS_BY_OPERATOR["anna"])
 
 
 @when('the key file has the line "{line}"')
--- a/features/steps/control_programs_steps.py
+++ b/features/steps/control_programs_steps.py
@@ -24,7 +24,7 @@
     return until(send, f"change {number}")
 
 
-@when("{count:d} changes are sent one after the other and the leader is killed in their midst")
+@when("{count:d} changes are sent one after the other and the leader is killed halfway")
 def step_changes_and_kill(context, count):
     for number in range(count):
         if number == count // 2:
@@ -38,8 +38,8 @@
 def step_history_whole(context, revision):
     body = context.tier.ask_leader("/v1/history?limit=200")
     assert body["revision"] == revision
-    found = [item["change_id"] for item in reversed(body["changes"])]
-    assert found == [f"c-{number}" for number in range(revision)]
+    change_ids = [item["change_id"] for item in reversed(body["changes"])]
+    assert change_ids == [f"c-{number}" for number in range(revision)]
 
 
 @when("the killed host is started again")
@@ -47,20 +47,20 @@
     context.tier.controls[context.killed].start()
 
 
-def _shown(tier, name):
+def _read_rules(tier, name):
     reply = tier.operator(name, "GET", "/v1/rules?stale=true")
     return reply is not None and reply.status == 200 and reply.body
 
 
-def _all_show(tier, rules):
+def _wait_until_all_show(tier, rules):
     for name in tier.controls:
-        until(lambda name=name: _shown(tier, name) == rules, f"{name} shows the rules")
+        until(lambda name=name: _read_rules(tier, name) == rules, f"{name} shows the rules")
 
 
-@then("it comes to the same rules and revision as the others")
-def step_same_as_others(context):
+@then("it reaches the same rules and revision as the others")
+def step_rules_caught_up(context):
     context.rules = context.tier.ask_leader("/v1/rules")
-    until(lambda: _shown(context.tier, context.killed) == context.rules, "the same rules")
+    until(lambda: _read_rules(context.tier, context.killed) == context.rules, "the same rules")
 
 
 @when("all control programs are killed and started again")
@@ -72,9 +72,9 @@
 
 
 @then("the rules and the revision are the same as before")
-def step_rules_again(context):
+def step_rules_unchanged(context):
     assert context.tier.ask_leader("/v1/rules") == context.rules
-    _all_show(context.tier, context.rules)
+    _wait_until_all_show(context.tier, context.rules)
 
 
 @when("the leading program gets SIGTERM")
@@ -83,8 +83,8 @@
     context.exit_code = context.tier.controls[context.old].stop()
 
 
-@then("it ends with exit code 0 after another host was elected on its word")
-def step_handed_over(context):
+@then("it exits with code 0 after a leadership transfer to another host")
+def step_leadership_transferred(context):
     log = context.tier.controls[context.old].log()
     assert context.exit_code == 0, log
     assert "control_follows" in log
@@ -100,7 +100,7 @@
     context.exit_code = context.second.wait()
 
 
-@then("the second ends with exit code {code:d} and says that the folder is in use")
+@then("the second exits with code {code:d} and logs that the folder is in use")
 def step_second_ends(context, code):
     log = context.second.log()
     assert context.exit_code == code, log
@@ -108,12 +108,12 @@
     assert "Traceback" not in log
 
 
-@then("the first still takes part")
+@then("the first still applies changes")
 def step_first_still(context):
     assert context.tier.controls[context.name].alive
     _change(context.tier, 0)
     until(
-        lambda: (_shown(context.tier, context.name) or {}).get("revision") == 1,
+        lambda: (_read_rules(context.tier, context.name) or {}).get("revision") == 1,
         "the first shows the change",
     )
 
@@ -131,25 +131,27 @@
 @when("{count:d} changes are made and the leading program departs and is stopped")
 def step_depart(context, count):
     tier = context.tier
-    # Hosts announce themselves a moment after they start; before that nobody could name them.
-    everyone = ["voter"] * len(tier.controls)
-    until(lambda: list(_members(tier).values()) == everyone, "all hosts are known")
+    # A departure needs the name of the host, which the host announces shortly after its start.
+    all_voters = ["voter"] * len(tier.controls)
+    until(lambda: list(_members(tier).values()) == all_voters, "all hosts are announced as voters")
     for number in range(count):
         _change(tier, number)
     context.revision = count + 1
     context.departed = tier.leader()
     reply = _depart(tier, context.departed, count)
     assert (reply.status, reply.body.get("revision")) == (200, context.revision), reply
-    until(lambda: _members(tier).get(context.departed) == "outside", "it is outside")
+    until(
+        lambda: _members(tier).get(context.departed) == "outside", "the departed host is no member"
+    )
     tier.controls[context.departed].stop()
 
 
 def _members(tier):
     controls = tier.ask_leader("/v1/hosts")["controls"]
-    return {one["name"]: one["state"] for one in controls}
+    return {control["name"]: control["state"] for control in controls}
 
 
-@then("its host is no member of the log any more, and the other {count:d} are voters")
+@then("its host is no longer a member of the log, and the other {count:d} are voters")
 def step_departed(context, count):
     members = _members(context.tier)
     assert members.pop(context.departed) == "outside", members
--- a/features/steps/control_tier_steps.py
+++ b/features/steps/control_tier_steps.py
@@ -8,16 +8,16 @@
 from features.support.control_tier import control_tier
 
 
-def _add(name, expected, change_id):
+def _add_rule(name, expected, change_id):
     return {"change_id": change_id, "expected_revision": expected, "rule": rule(name)}
 
 
-def _set(expected, change_id, budget):
+def _set_hedge_budget(expected, change_id, budget):
     settings = {"hedge_budget": budget}
     return {"change_id": change_id, "expected_revision": expected, "settings": settings}
 
 
-@then("of two operators at two control hosts exactly one wins and the other sees what won")
+@then("exactly one of two concurrent changes is accepted and the other operator is shown it")
 def step_tier_race(context):
     trio.run(_race)
 
@@ -27,7 +27,7 @@
         answers = {}
 
         async def send(who, at):
-            body = _add(f"{who}s-rule", 0, f"{who}-1")
+            body = _add_rule(f"{who}s-rule", 0, f"{who}-1")
             answers[who] = await tier.change("POST", "/v1/rules", body, who, at)
 
         leader, follower = await tier.leader(), await tier.follower()
@@ -40,7 +40,7 @@
         won = answers[loser][1]["won"]
         assert [(item["who"], item["target"]) for item in won] == [(winner, f"{winner}s-rule")]
         rules = await tier.read("/v1/rules")
-        assert [one["name"] for one in rules["rules"]] == [f"{winner}s-rule"]
+        assert [rule_row["name"] for rule_row in rules["rules"]] == [f"{winner}s-rule"]
 
 
 @then("a change resent to the next leader gets its first answer")
@@ -50,17 +50,17 @@
 
 async def _resend():
     async with control_tier() as tier:
-        body = _add("night", 0, "c-1")
+        body = _add_rule("night", 0, "c-1")
         status, first = await tier.change("POST", "/v1/rules", body)
         assert status == 200 and not first["repeated"]
         await tier.kill_control(await tier.leader())
         status, second = await tier.change("POST", "/v1/rules", body)
         assert (status, second) == (200, first | {"repeated": True})
-        status, third = await tier.change("POST", "/v1/rules", _add("day", 1, "c-2"))
+        status, third = await tier.change("POST", "/v1/rules", _add_rule("day", 1, "c-2"))
         assert (status, third["revision"]) == (200, 2)
 
 
-@then("rules, revision, history and answers are there again after all hosts restart")
+@then("rules, revision, history and answers are restored after all hosts restart")
 def step_tier_restart(context):
     trio.run(_restart)
 
@@ -68,13 +68,13 @@
 async def _restart():
     async with control_tier(compact_entries=150) as tier:
         for number in range(250):
-            body = _set(number, f"c-{number}", (number + 1) / 1000)
+            body = _set_hedge_budget(number, f"c-{number}", (number + 1) / 1000)
             status, answer = await tier.change("PUT", "/v1/settings", body)
             assert status == 200, answer
             await tier.propose(KeepHouse())
-        status, last = await tier.change("POST", "/v1/rules", _add("night", 250, "last"))
+        status, last = await tier.change("POST", "/v1/rules", _add_rule("night", 250, "last"))
         assert status == 200
-        before = {path: await tier.read(path) for path in _SHOWN}
+        before = {path: await tier.read(path) for path in RESTORED_PATHS}
         leader = await tier.leader()
         assert tier.hosts[leader].server.host.log.status().snapshot_index > 0
         names = list(tier.hosts)
@@ -82,13 +82,13 @@
             await tier.kill_control(name)
         for name in names:
             await tier.start_control(name)
-        after = {path: await tier.read(path) for path in _SHOWN}
+        after = {path: await tier.read(path) for path in RESTORED_PATHS}
         assert after == before
-        status, answer = await tier.change("POST", "/v1/rules", _add("night", 250, "last"))
+        status, answer = await tier.change("POST", "/v1/rules", _add_rule("night", 250, "last"))
         assert (status, answer) == (200, last | {"repeated": True})
 
 
-_SHOWN = ("/v1/rules", "/v1/settings", "/v1/history?limit=200", "/v1/rules/night")
+RESTORED_PATHS = ("/v1/rules", "/v1/settings", "/v1/history?limit=200", "/v1/rules/night")
 
 
 @then("a second host can be lost right after a repair without losing a change")
@@ -98,21 +98,21 @@
 
 async def _repair():
     async with control_tier() as tier:
-        await tier.change("POST", "/v1/rules", _add("night", 0, "c-1"))
+        await tier.change("POST", "/v1/rules", _add_rule("night", 0, "c-1"))
         lost = await tier.follower()
         await tier.kill_control(lost)
         await tier.repair(lost, "control-4", 1)
         leader = await tier.leader()
-        status, _ = await tier.change("POST", "/v1/rules", _add("day", 2, "c-3"))
+        status, _ = await tier.change("POST", "/v1/rules", _add_rule("day", 2, "c-3"))
         assert status == 200
         await tier.kill_control(leader)
-        status, _ = await tier.change("POST", "/v1/rules", _add("dusk", 3, "c-4"))
+        status, _ = await tier.change("POST", "/v1/rules", _add_rule("dusk", 3, "c-4"))
         assert status == 200
         rules = await tier.read("/v1/rules")
-        assert [one["name"] for one in rules["rules"]] == ["night", "day", "dusk"]
+        assert [rule_row["name"] for rule_row in rules["rules"]] == ["night", "day", "dusk"]
 
 
-@then("a stop planned for the leader moves the leadership before anything is stopped")
+@then("a planned stop of the leader transfers the leadership before its host is stopped")
 def step_tier_stop(context):
     trio.run(_planned_stop)
 
@@ -132,25 +132,25 @@
         status, answer = await tier.change("POST", f"/v1/hosts/{other}/stop", body)
         assert (status, answer["error"]) == (409, "stop_refused")
         await tier.kill_control(old)
-        status, _ = await tier.change("POST", "/v1/rules", _add("night", 1, "c-3"))
+        status, _ = await tier.change("POST", "/v1/rules", _add_rule("night", 1, "c-3"))
         assert status == 200
         await tier.start_control(old)
         controls = tier.state(new).hosts.controls
         await tier.until(lambda: controls[old].mark == "")
 
 
-@then("a cut-off leader grants nothing, and takes no part in disturbing the others on its return")
-def step_tier_cut_off(context):
-    trio.run(_cut_off)
+@then("a partitioned leader gives up its leadership, and does not disturb the others on its return")
+def step_tier_partitioned_leader(context):
+    trio.run(_partitioned_leader)
 
 
-async def _cut_off():
+async def _partitioned_leader():
     async with control_tier() as tier:
         old = await tier.leader()
         host = tier.hosts[old].server.host
         node = host.log
         links, serve = node._links, node.serve_peer
-        # The hosts' messages vanish in both directions; no connection is closed.
+        # Messages between the hosts are lost in both directions; no connection is closed.
         real_send, real_receive = links.send, node._driver.receive
         links.send = lambda to, message: None
         node._driver.receive = lambda sender, message: None
@@ -161,7 +161,7 @@
         status, answer = await tier.call(old, "GET", "/v1/rules")
         assert (status, answer["error"]) == (503, "no_leader")
         new = next(name for name in others if tier.hosts[name].server.host.leadership)
-        status, _ = await tier.call(new, "POST", "/v1/rules", _add("night", 0, "c-1"))
+        status, _ = await tier.call(new, "POST", "/v1/rules", _add_rule("night", 0, "c-1"))
         assert status == 200
         await trio.sleep(1.5)
         term = tier.hosts[new].server.host.log.status().term
--- a/features/support/control_tier.py
+++ b/features/support/control_tier.py
@@ -1,4 +1,4 @@
-"""Control hosts with real files and sockets in one loop, and entries' clients that hold leases."""
+"""Control hosts with real files and sockets, and control clients of entries, in one event loop."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 SECRET = b"the secret that these tests share"
 KEYS = "anna change annas-key-of-the-tests\nbjorn change bjorns-key-of-the-tests\n"
 KEYS += "monitor read monitors-key-of-the-tests\n"
-KEY_OF = {row.split()[0]: row.split()[2] for row in KEYS.splitlines()}
+KEYS_BY_OPERATOR = {row.split()[0]: row.split()[2] for row in KEYS.splitlines()}
 LEASE = 2000.0
 
 
 class Host:
-    """One control host and what it runs on."""
+    """One control host with its settings and its cancel scope."""
 
     def __init__(self, cfg):
         self.cfg = cfg
@@ -61,7 +61,7 @@
         )
         for name in names:
             self.ports[name] = held_ports(2)
-        self.founders = self.endpoints(names)
+        self.initial_peers = self.endpoints(names)
 
     def endpoints(self, names):
         return tuple(
@@ -80,7 +80,7 @@
             data_folder=self.folder / name,
             links=Endpoint(address=LOOPBACK, port=links),
             operators=Endpoint(address=LOOPBACK, port=operators),
-            peers=self.founders,
+            peers=self.initial_peers,
             secret_file=self.folder / "secret",
             keys_file=self.folder / "keys",
             lease_ms=self.lease,
@@ -92,7 +92,7 @@
         observed = ObservedState()
         storage = DataFolder(DiskFiles(host.cfg.data_folder), host.cfg.name)
         cfg = LogNodeConfig(raft=self.raft, redial=50.0)
-        changed = Signal()
+        role_changed = Signal()
         node = LogNode(
             host.cfg.name,
             host.cfg.peers,
@@ -100,11 +100,11 @@
             observed,
             SECRET,
             cfg,
-            on_role=lambda *_: changed.notify(),
+            on_role=lambda *_: role_changed.notify(),
         )
         codec = Codec(*CONTROL_MESSAGES, *PEER_MESSAGE_TYPES)
         keys = parse_keys(KEYS)
-        host.server = ControlServer(host.cfg, node, observed, SECRET, keys, codec, changed)
+        host.server = ControlServer(host.cfg, node, observed, SECRET, keys, codec, role_changed)
         try:
             with trio.CancelScope() as host.scope:
                 async with trio.open_nursery() as nursery:
@@ -120,7 +120,7 @@
         await host.stopped.wait()
 
     async def repair(self, lost, name, revision):
-        """Put a new control host in the place of one whose disk is gone; return when it votes."""
+        """Replace a control host whose disk is lost; return when all hosts are voters."""
         await self.start_control(name)
         replacement = {"name": name, "zone": "austin-hall", "address": LOOPBACK}
         replacement["port"] = self.ports[name][0]
@@ -158,14 +158,14 @@
 
     async def call(self, name, method, path, body=None, who="anna", raw=None, key=None):
         data = raw if raw is not None else b"" if body is None else orjson.dumps(body)
-        key = KEY_OF.get(who) if key is None else key
+        key = KEYS_BY_OPERATOR.get(who) if key is None else key
         headers = [("Authorization", f"Bearer {key}")] if key else []
         port = self.ports[name][1]
         reply = await http_once(LOOPBACK, port, method, path, data, headers, timeout=20_000.0)
         return reply.status, orjson.loads(reply.body)
 
     async def change(self, method, path, body, who="anna", at=None):
-        """Send a change to a host, then to the leader that it names, until it has an answer."""
+        """Send a request to a host, then to the leader that it names, until it has an answer."""
         name = at or await self.leader()
         with trio.fail_after(30):
             while True:
@@ -175,18 +175,18 @@
                     status, answer = 0, {}
                 if status not in (0, 503, 504):
                     return status, answer
-                named = answer.get("leader")
-                name = named["name"] if named else await self.leader()
+                leader_endpoint = answer.get("leader")
+                name = leader_endpoint["name"] if leader_endpoint else await self.leader()
                 await trio.sleep(0.02)
 
     async def read(self, path):
-        """What the leader answers; under load another host may lead than a moment ago."""
+        """Return the leader's answer; under load the leader may change between two requests."""
         status, answer = await self.change("GET", path, None)
         assert status == 200, answer
         return answer
 
     async def propose(self, operation):
-        """Have the leader put an operation of its own on the log."""
+        """Submit an operation to the log through the leader."""
         with trio.fail_after(30):
             while True:
                 proposer = self.hosts[await self.leader()].server.host.proposer
@@ -223,7 +223,7 @@
 
 @asynccontextmanager
 async def control_tier(count=3, compact_entries=1000, lease=LEASE):
-    """Run a tier of control hosts for the length of an ``async with`` block."""
+    """Run a tier of control hosts during an ``async with`` block."""
     names = [f"control-{number + 1}" for number in range(count)]
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
@@ -237,7 +237,11 @@
 
 
 class TcpProxy:
-    """Passes bytes on between two ends, until it goes silent without closing anything."""
+    """A TCP proxy that can stop forwarding without closing its connections.
+
+    While ``silent`` is set, connections that were opened before stop forwarding; those that are
+    opened in this time still forward.
+    """
 
     def __init__(self, port):
         self.port = port
@@ -250,23 +254,23 @@
         await trio.serve_listeners(self._serve, listeners, task_status=task_status)
 
     async def _serve(self, stream):
-        born_silent = self.silent
+        opened_silent = self.silent
         try:
             other = await trio.open_tcp_stream(LOOPBACK, self.port)
         except OSError:
             return
         async with other:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._copy, stream, other, born_silent)
-                nursery.start_soon(self._copy, other, stream, born_silent)
+                nursery.start_soon(self._copy, stream, other, opened_silent)
+                nursery.start_soon(self._copy, other, stream, opened_silent)
 
-    async def _copy(self, source, target, born_silent):
+    async def _copy(self, source, target, opened_silent):
         try:
             while True:
                 data = await source.receive_some(65_536)
                 if not data:
                     return
-                if self.silent and not born_silent:
+                if self.silent and not opened_silent:
                     await trio.sleep_forever()
                 await target.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
--- a/features/support/one_control.py
+++ b/features/support/one_control.py
@@ -1,4 +1,4 @@
-"""A real control server with a log of one host, and the control clients of two entries."""
+"""A control server with a log in memory, and the control clients of some entries."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OneControl:
-    """Runs in a loop of its own thread, so that commands can be run beside it."""
+    """Runs the server in an event loop of its own thread, so that tests can run commands."""
 
     def __init__(self, folder, entries):
         self._entries = entries
@@ -41,14 +41,14 @@
         self._thread.join(START_TIMEOUT_S)
 
     def _settings(self):
-        nowhere = Endpoint(address=LOOPBACK, port=0)
+        any_port = Endpoint(address=LOOPBACK, port=0)
         peer = NamedEndpoint(name="control-1", address=LOOPBACK, port=0)
         return ControlSettings(
             name="control-1",
             zone="waco-hall",
             data_folder=self._folder,
-            links=nowhere,
-            operators=nowhere,
+            links=any_port,
+            operators=any_port,
             peers=(peer,),
             secret_file=self._folder / "secret",
             keys_file=self._folder / "keys",
@@ -68,9 +68,9 @@
             self._ready.set()
 
     async def _entry(self, name, zone, port, task_status):
-        where = NamedEndpoint(name="control-1", address=LOOPBACK, port=port)
-        me = EntryIdentity(name, f"{name}-first", zone, LOOPBACK, 7000 + len(name))
-        client = ControlClient(me, [where], SECRET)
+        endpoint = NamedEndpoint(name="control-1", address=LOOPBACK, port=port)
+        identity = EntryIdentity(name, f"{name}-first", zone, LOOPBACK, 7000 + len(name))
+        client = ControlClient(identity, [endpoint], SECRET)
         async with trio.open_nursery() as nursery:
             await nursery.start(client.run)
             while not client.may_serve():
--- a/src/alderhatch/control/_operator_views.py
+++ b/src/alderhatch/control/_operator_views.py
@@ -127,11 +127,11 @@
             ],
             "suspects": [
                 {
-                    "fingerprint": fingerprint,
+                    "fingerprint": suspect,
                     "crashes": len(crash_reports),
                     "last_ms": crash_reports[-1].at,
                 }
-                for fingerprint, crash_reports in suspects
+                for suspect, crash_reports in suspects
                 if crash_reports
             ],
         }
