--- a/features/control_tier.feature
+++ b/features/control_tier.feature
@@ -25,6 +25,6 @@
     Then a planned stop of the leader transfers the leadership before its host is stopped
 
   Scenario: The leader is partitioned and returns
-    # All messages to and from the leader are lost, while its connections stay open. If it still
-    # granted leases, entries would serve by rules that the other hosts have replaced.
+    # All messages between the leader and the other hosts are lost, while connections stay open. If
+    # it still granted leases, entries would serve by rules that the other hosts have replaced.
     Then a partitioned leader gives up its leadership, and does not disturb the others on its return
--- a/src/alderhatch/control/control_host.py
+++ b/src/alderhatch/control/control_host.py
@@ -158,7 +158,7 @@
 
     async def _begin_leadership(self, term: int) -> None:
         # Everything that earlier leaders accepted has to be applied here first. Otherwise a grant
-        # would carry an older version, and an entry would take outdated rules for current.
+        # would carry an older version, and tell an entry that its outdated version is current.
         try:
             await self.log.read_barrier()
         except AlderhatchError:
--- a/src/alderhatch/control/link_server.py
+++ b/src/alderhatch/control/link_server.py
@@ -41,7 +41,7 @@
 MAX_MESSAGES_IN_PROGRESS = 256
 """Messages of one link that are handled at the same time; further ones stay unread."""
 MAX_PUSHED_BYTES = 4096
-"""Larger updates are not pushed but sent with the next grant, which may follow at once."""
+"""Larger updates are sent with the next grant only, which may go out at the same moment."""
 NO_GRANT = Grant(-1, 0.0, 0, 0, "")
 """Placeholder in a batch of grants for a renewal that gets no answer."""
 
