--- a/features/entry_world.py
+++ b/features/entry_world.py
@@ -20,7 +20,7 @@
 from alderhatch.standin.standin_platform import StandinPlatform
 from alderhatch.standin.standin_server import ServiceTime, UpstreamShape
 from alderhatch.standin.standin_upstream import StandinUpstream
-from features.support.control_tier import LEASE, SECRET, ControlTier
+from features.support.control_tier import LEASE_MS, SECRET, ControlTier
 from features.support.loop_thread import LoopThread
 
 LOOPBACK = "127.0.0.1"
@@ -74,7 +74,7 @@
     async def start_controls(self, count):
         self._folder = tempfile.TemporaryDirectory()
         names = [f"control-{number + 1}" for number in range(count)]
-        lease = self.settings.get("lease_ms", LEASE)
+        lease = self.settings.get("lease_ms", LEASE_MS)
         self.controls = ControlTier(self._nursery, self._folder.name, names, 1000, lease)
         for name in names:
             await self.controls.start_control(name)
--- a/features/steps/cli_operator_steps.py
+++ b/features/steps/cli_operator_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from features.support.cli_support import call, new_folder
-from features.support.one_control import CHANGE_KEY, READ_KEY, SECRET, OneControl
+from features.support.control_server_thread import CHANGE_KEY, READ_KEY, SECRET, ControlServerThread
 
 UNKNOWN_KEY = "unknown-key-of-the-tests-0123456789"
 
@@ -15,7 +15,7 @@
 @given('a control server with the entries "{first}" in {zone_1} and "{second}" in {zone_2}')
 def step_control_server(context, first, zone_1, second, zone_2):
     context.cli_folder = new_folder(context)
-    context.control = OneControl(context.cli_folder, {first: zone_1, second: zone_2})
+    context.control = ControlServerThread(context.cli_folder, {first: zone_1, second: zone_2})
     context.control.start()
     context.add_cleanup(context.control.stop)
 
--- a/features/support/one_control.py
+++ b/features/support/control_server_thread.py
@@ -22,7 +22,7 @@
 START_TIMEOUT_S = 30
 
 
-class OneControl:
+class ControlServerThread:
     """Runs the server in an event loop of its own thread, so that tests can run commands."""
 
     def __init__(self, folder, entries):
--- a/features/support/control_tier.py
+++ b/features/support/control_tier.py
@@ -35,7 +35,7 @@
 KEYS = "anna change annas-key-of-the-tests\nbjorn change bjorns-key-of-the-tests\n"
 KEYS += "monitor read monitors-key-of-the-tests\n"
 KEYS_BY_OPERATOR = {row.split()[0]: row.split()[2] for row in KEYS.splitlines()}
-LEASE = 2000.0
+LEASE_MS = 2000.0
 
 
 class Host:
@@ -222,7 +222,7 @@
 
 
 @asynccontextmanager
-async def control_tier(count=3, compact_entries=1000, lease=LEASE):
+async def control_tier(count=3, compact_entries=1000, lease=LEASE_MS):
     """Run a tier of control hosts during an ``async with`` block."""
     names = [f"control-{number + 1}" for number in range(count)]
     with tempfile.TemporaryDirectory() as folder:
