--- a/src/alderhatch/http/client.py
+++ b/src/alderhatch/http/client.py
@@ -42,7 +42,7 @@
         with trio.fail_after(timeout / SECOND):
             stream = await trio.open_tcp_stream(address, port)
     except (OSError, trio.TooSlowError) as exc:
-        message = f"cannot connect to {address}:{port}: {exc}"
+        message = f"no connection to {address}:{port}: {exc}"
         raise HttpExchangeError(message, ExchangeFault.NOT_SENT) from exc
     _enable_dead_peer_detection(stream)
     return HttpConnection(stream, f"{address}:{port}", trio.current_time() * SECOND)
