--- a/features/steps/caller_addresses_steps.py
+++ b/features/steps/caller_addresses_steps.py
@@ -63,9 +63,9 @@
 @when("the platform's list becomes unreadable and is requested {count:d} times")
 def step_platform_breaks(context, count):
     harness = world(context)
-    harness.platform.broken = True
-    requests_before = harness.platform.asked
+    harness.platform.returns_invalid_list = True
+    requests_before = harness.platform.fetch_count
     harness.call(
         harness.until,
-        lambda: harness.platform.asked >= requests_before + count * len(harness.entries),
+        lambda: harness.platform.fetch_count >= requests_before + count * len(harness.entries),
     )
--- a/features/steps/cli_programs_steps.py
+++ b/features/steps/cli_programs_steps.py
@@ -41,7 +41,7 @@
 
 @when("a caller asks the tier for towels")
 def step_ask(context):
-    words = ["--entry", context.tier.entry_places, "query", '{"topic": "towels"}']
+    words = ["--entry", context.tier.entry_addresses, "query", '{"topic": "towels"}']
     call(context, *words, "--upstream", "navigator", "--kind", "order-status")
 
 
--- a/features/steps/cli_tier_steps.py
+++ b/features/steps/cli_tier_steps.py
@@ -16,7 +16,7 @@
 
 def _operate(context, *words, entries=None):
     tier = context.tier
-    places = ("--control", tier.control_places, "--entry", entries or tier.entry_places)
+    places = ("--control", tier.control_addresses, "--entry", entries or tier.entry_addresses)
     call(context, *places, "--key-file", tier.change_key, *words)
 
 
@@ -55,7 +55,7 @@
 @then("every process of the tier shows its dump and its metrics")
 def step_dumps(context):
     context.shown = []
-    for name, place in context.tier.dump_places.items():
+    for name, place in context.tier.operator_addresses.items():
         _operate(context, "dump", place)
         assert context.cli.exit_code == 0, context.cli.output
         assert f'"{name}"' in context.cli.stdout, context.cli.stdout[:500]
--- a/features/steps/control_programs_steps.py
+++ b/features/steps/control_programs_steps.py
@@ -36,7 +36,7 @@
 
 @then("the revision is {revision:d} and the history shows each change once")
 def step_history_whole(context, revision):
-    body = context.tier.ask_leader("/v1/history?limit=200")
+    body = context.tier.get_from_leader("/v1/history?limit=200")
     assert body["revision"] == revision
     found = [item["change_id"] for item in reversed(body["changes"])]
     assert found == [f"c-{number}" for number in range(revision)]
@@ -59,7 +59,7 @@
 
 @then("it comes to the same rules and revision as the others")
 def step_same_as_others(context):
-    context.rules = context.tier.ask_leader("/v1/rules")
+    context.rules = context.tier.get_from_leader("/v1/rules")
     until(lambda: _shown(context.tier, context.killed) == context.rules, "the same rules")
 
 
@@ -73,7 +73,7 @@
 
 @then("the rules and the revision are the same as before")
 def step_rules_again(context):
-    assert context.tier.ask_leader("/v1/rules") == context.rules
+    assert context.tier.get_from_leader("/v1/rules") == context.rules
     _all_show(context.tier, context.rules)
 
 
@@ -94,7 +94,7 @@
 @when("one of them is started a second time")
 def step_second_process(context):
     context.name = next(iter(context.tier.controls))
-    context.second = context.tier.controls[context.name].twin()
+    context.second = context.tier.controls[context.name].duplicate()
     context.add_cleanup(context.second.close)
     context.second.start()
     context.exit_code = context.second.wait()
@@ -145,7 +145,7 @@
 
 
 def _members(tier):
-    controls = tier.ask_leader("/v1/hosts")["controls"]
+    controls = tier.get_from_leader("/v1/hosts")["controls"]
     return {one["name"]: one["state"] for one in controls}
 
 
@@ -158,7 +158,7 @@
 
 @when("another control program is killed")
 def step_kill_another(context):
-    context.rules = context.tier.ask_leader("/v1/rules")
+    context.rules = context.tier.get_from_leader("/v1/rules")
     context.killed = context.tier.leader()
     context.tier.controls[context.killed].kill()
 
@@ -166,7 +166,7 @@
 @then("the rules are as before, and {count:d} more changes are accepted")
 def step_rules_kept(context, count):
     tier = context.tier
-    assert tier.ask_leader("/v1/rules") == context.rules
+    assert tier.get_from_leader("/v1/rules") == context.rules
     for _ in range(count):
         answer = _change(tier, context.revision)
         context.revision += 1
--- a/features/steps/entry_connections_steps.py
+++ b/features/steps/entry_connections_steps.py
@@ -136,7 +136,7 @@
 
     async def close():
         for server in here.upstream.servers:
-            server.close_open()
+            server.close_open_connections()
         await trio.sleep(0.05)
 
     here.call(close)
--- a/features/steps/entry_snapshot_steps.py
+++ b/features/steps/entry_snapshot_steps.py
@@ -16,7 +16,7 @@
         case "publishes a version and forgets the last":
             last = upstream.newest.snapshot
             upstream.publish_version()
-            upstream.forget(last)
+            upstream.drop_snapshot(last)
         case _:
             raise AssertionError(changes)
 
@@ -94,7 +94,7 @@
     upstream = world(context).upstream
     snapshot = upstream.publish_version()
     for shard in upstream.newest.servers:
-        upstream.holders(shard)[0].lacks.add(snapshot)
+        upstream.holders(shard)[0].missing_snapshots.add(snapshot)
 
 
 @given("the upstream publishes a version")
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -112,7 +112,7 @@
 
 @then("the tier's revision is what it was")
 def step_revision(context):
-    assert context.tier.ask_leader("/v1/rules")["revision"] == context.revision
+    assert context.tier.get_from_leader("/v1/rules")["revision"] == context.revision
 
 
 @then("each entry of the tier answers a query")
--- a/features/steps/upstream_faults_steps.py
+++ b/features/steps/upstream_faults_steps.py
@@ -102,7 +102,7 @@
 
     async def freeze():
         for server in context.silent_servers:
-            server.freeze_open(FrozenSide(side))
+            server.freeze_open_connections(FrozenSide(side))
 
     here.call(freeze)
 
--- a/features/support/tier.py
+++ b/features/support/tier.py
@@ -110,7 +110,7 @@
         self._log_path = log_path
         self.process = None
 
-    def twin(self):
+    def duplicate(self):
         """The same program with the same settings once more, with a log of its own."""
         module, settings = self._command[2:]
         return Program(module, settings, self._log_path.with_suffix(".twin.log"))
@@ -237,15 +237,15 @@
         return {**self.controls, **self.entries}
 
     @property
-    def control_places(self):
+    def control_addresses(self):
         return ",".join(f"{self.address}:{port}" for _, port in self.control_ports.values())
 
     @property
-    def entry_places(self):
+    def entry_addresses(self):
         return ",".join(f"{self.address}:{port}" for port, _ in self.entry_ports.values())
 
     @property
-    def dump_places(self):
+    def operator_addresses(self):
         """Where each process shows its dump."""
         ports = self.control_ports | self.entry_ports
         return {name: f"{self.address}:{operators}" for name, (_, operators) in ports.items()}
@@ -284,7 +284,7 @@
         except AssertionError as exc:
             raise AssertionError(f"{exc}\n{self.logs()}") from exc
 
-    def ask_leader(self, path):
+    def get_from_leader(self, path):
         """What the leader answers; another one is asked if it just lost the lead."""
 
         def ask():
--- a/src/alderhatch/standin/fault_script.py
+++ b/src/alderhatch/standin/fault_script.py
@@ -98,7 +98,7 @@
     for name, value in _fields(step).items():
         setattr(server.faults, name, value)
     if step.freeze is not None:
-        server.freeze_open(step.freeze)
+        server.freeze_open_connections(step.freeze)
     if step.crash:
         server.crash()
 
--- a/src/alderhatch/standin/standin_platform.py
+++ b/src/alderhatch/standin/standin_platform.py
@@ -20,9 +20,9 @@
         self.port = 0
         self.states: dict[int, str] = {}
         """``live`` or ``leaving`` for each port on loopback."""
-        self.asked = 0
+        self.fetch_count = 0
         """How often the list was fetched."""
-        self.broken = False
+        self.returns_invalid_list = False
         """Answers with something that is no list."""
 
     async def serve(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -36,8 +36,8 @@
     async def _handle(self, req: HttpRequest) -> HttpResponse:
         if (req.method, req.path) != ("GET", "/hosts"):
             raise AlderhatchError(Failure(ErrorKind.NOT_FOUND, f"nothing at {req.path}"))
-        self.asked += 1
-        if self.broken:
+        self.fetch_count += 1
+        if self.returns_invalid_list:
             return json_response(200, {"hosts": "all of them"})
         hosts = [
             {"address": LOOPBACK, "port": port, "state": state}
--- a/src/alderhatch/standin/standin_server.py
+++ b/src/alderhatch/standin/standin_server.py
@@ -98,7 +98,7 @@
         self.port = 0
         self.faults = ServerFaults()
         self.counts = ServerCounts()
-        self.lacks: set[Snapshot] = set()
+        self.missing_snapshots: set[Snapshot] = set()
         """Snapshots that it does not hold although its upstream does."""
         self._rng = rng
         self._boot = 0
@@ -131,12 +131,12 @@
         if self._life is not None:
             self._life.cancel()
 
-    def freeze_open(self, side: FrozenSide) -> None:
+    def freeze_open_connections(self, side: FrozenSide) -> None:
         """Let every connection that is open now go silent; new ones work."""
         for conn in self._connections:
             conn.frozen = side
 
-    def close_open(self) -> None:
+    def close_open_connections(self) -> None:
         """Close every open connection, as a server does with idle ones."""
         for conn in self._connections:
             conn.close()
@@ -239,7 +239,7 @@
             return _json(503, {"id": ask["id"], "error": "draining"})
         snapshot = Snapshot(ask["version"], ask["epoch"])
         layout = self.upstream.layouts.get(snapshot)
-        if layout is None or snapshot in self.lacks:
+        if layout is None or snapshot in self.missing_snapshots:
             return _json(409, {"id": ask["id"], "error": "version_gone"})
         if self.server_id not in layout.servers.get(ask["shard"], ()):
             return _json(400, {"id": ask["id"], "error": "refused"})
--- a/src/alderhatch/standin/standin_upstream.py
+++ b/src/alderhatch/standin/standin_upstream.py
@@ -101,7 +101,7 @@
                 servers[name] = last.servers[shard]
         return self._publish(Layout(snapshot, documents, servers))
 
-    def forget(self, snapshot: Snapshot) -> None:
+    def drop_snapshot(self, snapshot: Snapshot) -> None:
         """Let all servers drop a snapshot."""
         del self.layouts[snapshot]
 
