--- a/src/alderhatch/standin/__init__.py
+++ b/src/alderhatch/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for upstreams and the platform, for the demo, tests and benchmarks."""
+"""Stand-in upstreams and a stand-in platform for the demo, tests and benchmarks."""
--- a/src/alderhatch/standin/app.py
+++ b/src/alderhatch/standin/app.py
@@ -1,4 +1,4 @@
-"""The stand-in upstream as a program of its own, for trials and benchmarks."""
+"""The stand-in upstream as a separate program, for manual tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class UpstreamOptions(NamedTuple):
-    """What the program runs."""
+    """Options of the program."""
 
     shape: UpstreamShape
     zones: tuple[str, ...]
-    """The availability zones that the servers are spread over."""
+    """The availability zones that the servers are distributed over."""
     documents_per_shard: int = 12
     seed: int = 1
     service_time: ServiceTime = ServiceTime()
     base_port: int = 0
-    """The first server's port, the next ones follow; 0 lets the kernel choose each."""
+    """Port of the first server; the others follow it. 0: the kernel chooses every port."""
     faults: Sequence[FaultStep] = ()
 
 
@@ -34,12 +34,12 @@
 ) -> None:
     """Run all servers of a stand-in upstream on loopback until cancelled.
 
-    Once they listen, the shard map is written to standard output as one line of JSON, by which
-    whoever started the program finds the ports.
+    Once they listen, the shard map is written to standard output as one line of JSON. It tells the
+    parent process the ports.
 
     Args:
-        options: What to run.
-        task_status: Given the upstream once all its servers listen.
+        options: Options of the program.
+        task_status: Receives the upstream once all its servers listen.
 
     Raises:
         OSError: If a port can't be listened on.
--- a/src/alderhatch/standin/corpus.py
+++ b/src/alderhatch/standin/corpus.py
@@ -1,4 +1,4 @@
-"""What the stand-in upstreams hold: documents that follow from their names alone."""
+"""Documents of the stand-in upstreams, computed from their names and the snapshot."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 
 class Layout(NamedTuple):
-    """How the documents are spread over shards, and the shards over servers, at one snapshot."""
+    """Distribution of documents over shards, and of shards over servers, at one snapshot."""
 
     snapshot: Snapshot
     documents: dict[str, int]
-    """How many documents each shard holds."""
+    """Number of documents in each shard."""
     servers: dict[str, tuple[str, ...]]
-    """The ids of the servers that hold each shard."""
+    """IDs of the servers that hold each shard."""
 
     @property
     def total(self) -> int:
-        """The documents of all shards."""
+        """Number of documents in all shards."""
         return sum(self.documents.values())
 
 
 class Corpus(NamedTuple):
-    """The documents of one upstream; every version of it can be worked out at any time."""
+    """The documents of one upstream, computed on demand for any snapshot."""
 
     upstream: str
 
     def rows(self, layout: Layout, shard: str, topic: str) -> list[dict[str, Any]]:
-        """Return the rows of one shard that a query for a topic finds.
+        """Return the rows of one shard that match a topic.
 
         Args:
-            layout: The state of the indexes that is read.
+            layout: The layout of the snapshot that is read.
             shard: The shard's name.
-            topic: The topic that the query names; an empty one finds all documents.
+            topic: The topic of the query; an empty one matches all documents.
 
         Returns:
-            The rows in the shard's order, each with the version that it was read at.
+            The rows in the shard's order, each with the index version that was read.
         """
-        found = []
+        matching = []
         for number in range(layout.documents[shard]):
             key = f"{self.upstream}/{shard}/{number}"
             document_topic = self._topic(key, layout.snapshot)
             if topic in ("", document_topic):
                 version = layout.snapshot.version
-                found.append({"key": key, "topic": document_topic, "version": version})
-        return found
+                matching.append({"key": key, "topic": document_topic, "version": version})
+        return matching
 
     def _topic(self, key: str, snapshot: Snapshot) -> str:
         text = f"{key}/{snapshot.version}/{snapshot.epoch}".encode()
--- a/src/alderhatch/standin/demo.py
+++ b/src/alderhatch/standin/demo.py
@@ -1,4 +1,4 @@
-"""The demo: controls, entries, stand-in upstreams and callers in one loop, every answer checked."""
+"""The demo: runs a whole tier with callers in one event loop and checks every answer."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
 from .standin_upstream import StandinUpstream
 
 RULES_FILE = Path(__file__).resolve().parents[3] / "examples" / "demo-rules.toml"
-ENTRIES = 3
+ENTRY_COUNT = 3
 LOOPBACK = "127.0.0.1"
-HIGHEST_MICROS = 60_000_000
-SHOWN_WRONG = 10
-START_LIMIT_S = 60.0
+MAX_LATENCY_MICROS = 60_000_000
+MAX_SHOWN_ERRORS = 10
+START_TIMEOUT_S = 60.0
 
 
-class RuleTally:
-    """What was measured of one rule's requests."""
+class RuleStats:
+    """Measurements of the requests under one rule."""
 
     def __init__(self) -> None:
-        self.micros = HdrHistogram(1, HIGHEST_MICROS, 3)
-        """Times of whole requests in microseconds."""
+        self.micros = HdrHistogram(1, MAX_LATENCY_MICROS, 3)
+        """Request latencies in microseconds, resends included."""
         self.coverage = 0.0
-        """The sum of the answers' coverage."""
+        """Sum of the coverage of all answers."""
         self.answers = 0
         self.bookings = 0
-        """Answers to bookings, which run on one shard."""
-        self.needed = 0
-        """Shard requests that the answers needed."""
+        """Number of answers to bookings, which run on one shard."""
+        self.required = 0
+        """Number of shard requests that the answers required without retries and hedges."""
         self.request_ids: list[tuple[str, str]] = []
-        """Upstream and request id of each request."""
+        """Upstream and request ID of each request."""
 
 
-class Wrong(NamedTuple):
-    """An answer that does not agree with what the stand-ins hold."""
+class WrongAnswer(NamedTuple):
+    """An answer that differs from the documents of the stand-in upstream."""
 
     request_id: str
     why: str
@@ -67,14 +67,14 @@
 
 
 class DemoRun:
-    """One deployment's demo.
+    """The demo of one deployment.
 
     Args:
-        deployment: Its shape.
-        rules: The rules that control is given.
-        queries: Queries for each upstream.
-        seed: Fixes the stand-ins' service times.
-        folder: Where the control hosts keep their files.
+        deployment: Zones, upstreams and kinds of request.
+        rules: The rules to put in force.
+        queries: Number of queries sent to each upstream.
+        seed: Seed of the stand-ins' service times and of the entries.
+        folder: Parent of the control hosts' data folders.
     """
 
     def __init__(
@@ -86,40 +86,40 @@
             shape.name: StandinUpstream(shape, deployment.zones, seed=seed)
             for shape in deployment.upstreams
         }
-        self.tallies: dict[str, RuleTally] = {}
-        self.wrong: list[Wrong] = []
+        self.rule_stats: dict[str, RuleStats] = {}
+        self.wrong: list[WrongAnswer] = []
         self.bookings = 0
-        """Bookings that were answered the same when they were sent again."""
-        self._booked: list[Booking] = []
+        """Number of bookings whose resend got the same answer."""
+        self._answered_bookings: list[Booking] = []
         self._rules = rules
         self._seed = seed
         self._controls = DemoControls(folder, deployment.zones)
         self._entries: list[EntryNode] = []
 
     async def run(self) -> None:
-        """Start everything, send the queries and bookings and check each answer."""
+        """Start the tier, send the queries and bookings and check every answer."""
         async with trio.open_nursery() as nursery:
             for upstream in self.upstreams.values():
                 await nursery.start(upstream.serve)
-            with trio.fail_after(START_LIMIT_S):
+            with trio.fail_after(START_TIMEOUT_S):
                 await nursery.start(self._controls.run)
                 await self._controls.put_rules(self._rules)
-                for number in range(ENTRIES):
+                for number in range(ENTRY_COUNT):
                     await self._start_entry(nursery, number)
-                await self._until_ready()
+                await self._wait_until_ready()
             async with trio.open_nursery() as callers:
                 for name in self.upstreams:
-                    callers.start_soon(self._caller, name)
+                    callers.start_soon(self._run_caller, name)
             self._check_bookings()
             nursery.cancel_scope.cancel()
 
     async def _start_entry(self, nursery: trio.Nursery, number: int) -> None:
-        nowhere = Endpoint(address=LOOPBACK, port=0)
+        any_port = Endpoint(address=LOOPBACK, port=0)
         cfg = EntrySettings(
             name=f"entry-{number + 1}",
             zone=self.deployment.zones[number % len(self.deployment.zones)],
-            callers=nowhere,
-            operators=nowhere,
+            callers=any_port,
+            operators=any_port,
             controls=self._controls.endpoints,
             upstreams=tuple(self._upstream_settings()),
         )
@@ -135,43 +135,43 @@
             for name, upstream in self.upstreams.items()
         ]
 
-    async def _until_ready(self) -> None:
-        def ready(entry: EntryNode) -> bool:
-            known = all(poller.newest is not None for poller in entry.map_pollers)
-            return entry.may_serve and known and len(entry.addresses.roster) == ENTRIES
+    async def _wait_until_ready(self) -> None:
+        def is_ready(entry: EntryNode) -> bool:
+            maps_known = all(poller.newest is not None for poller in entry.map_pollers)
+            return entry.may_serve and maps_known and len(entry.addresses.roster) == ENTRY_COUNT
 
-        while not all(ready(entry) for entry in self._entries):
+        while not all(is_ready(entry) for entry in self._entries):
             await trio.sleep(0.02)
 
-    async def _caller(self, name: str) -> None:
-        """Act as one caller: send one request after the other, then the bookings once more."""
+    async def _run_caller(self, name: str) -> None:
+        """Send requests one after another as one caller, then resend the bookings."""
         caller = await DemoCaller.connect(LOOPBACK, self._entries[0].port, len(name))
         for number in range(self.queries):
-            await self._one_query(caller, name, number)
+            await self._send_query(caller, name, number)
             if name == self.deployment.booked:
-                await self._one_booking(caller, name, number)
+                await self._send_booking(caller, name, number)
         caller.use_next()
-        for booking in [item for item in self._booked if item.upstream == name]:
-            await self._book_again(caller, booking)
+        for booking in [item for item in self._answered_bookings if item.upstream == name]:
+            await self._resend_booking(caller, booking)
         await caller.aclose()
 
-    async def _one_query(self, caller: DemoCaller, name: str, number: int) -> None:
+    async def _send_query(self, caller: DemoCaller, name: str, number: int) -> None:
         topic = TOPICS[number % len(TOPICS)]
         request_id = f"{name}-{number}"
         kind = self.deployment.kinds[name]
-        status, answer, micros = await caller.ask(
+        status, answer, micros = await caller.send(
             "/query", request_id, kind=kind, upstream=name, query={"topic": topic}
         )
         if status != 200:
-            self.wrong.append(Wrong(request_id, f"status {status}: {answer}"))
+            self.wrong.append(WrongAnswer(request_id, f"status {status}: {answer}"))
             return
         upstream = self.upstreams[name]
         why = check_answer(upstream, topic, answer)
         if why is not None:
-            self.wrong.append(Wrong(request_id, why))
-        self._tally(answer, name, request_id, micros, len(upstream.newest.documents))
+            self.wrong.append(WrongAnswer(request_id, why))
+        self._record(answer, name, request_id, micros, len(upstream.newest.documents))
 
-    async def _one_booking(self, caller: DemoCaller, name: str, number: int) -> None:
+    async def _send_booking(self, caller: DemoCaller, name: str, number: int) -> None:
         request_id = f"{name}-booking-{number}"
         fields: dict[str, object] = {
             "kind": "booking",
@@ -179,19 +179,19 @@
             "query": {},
             "key": f"hour-{number}",
         }
-        status, answer, micros = await caller.ask("/run", request_id, **fields)
+        status, answer, micros = await caller.send("/run", request_id, **fields)
         if status != 200:
-            self.wrong.append(Wrong(request_id, f"status {status}: {answer}"))
+            self.wrong.append(WrongAnswer(request_id, f"status {status}: {answer}"))
             return
-        self._booked.append(Booking(name, request_id, fields, answer["rows"]))
-        self._tally(answer, name, request_id, micros, 1)
-        self.tallies[answer["rule"]].bookings += 1
+        self._answered_bookings.append(Booking(name, request_id, fields, answer["rows"]))
+        self._record(answer, name, request_id, micros, 1)
+        self.rule_stats[answer["rule"]].bookings += 1
 
-    async def _book_again(self, caller: DemoCaller, booking: Booking) -> None:
-        """Send a booking once more at another entry, as if its answer had been lost."""
-        status, answer, _ = await caller.ask("/run", booking.request_id, **booking.fields)
+    async def _resend_booking(self, caller: DemoCaller, booking: Booking) -> None:
+        """Resend a booking to another entry, as a caller does after a lost answer."""
+        status, answer, _ = await caller.send("/run", booking.request_id, **booking.fields)
         if status != 200 or answer["rows"] != booking.rows:
-            self.wrong.append(Wrong(booking.request_id, f"again, status {status}: {answer}"))
+            self.wrong.append(WrongAnswer(booking.request_id, f"resent, status {status}: {answer}"))
             return
         self.bookings += 1
 
@@ -199,60 +199,62 @@
         for upstream in self.upstreams.values():
             for request_id, count in Counter(run[0] for run in upstream.runs).items():
                 if count > 1:
-                    self.wrong.append(Wrong(request_id, f"ran {count} times"))
+                    self.wrong.append(
+                        WrongAnswer(request_id, f"booking ran {count} times, expected at most 1")
+                    )
 
-    def _tally(
-        self, answer: dict[str, Any], name: str, request_id: str, micros: int, needed: int
+    def _record(
+        self, answer: dict[str, Any], name: str, request_id: str, micros: int, required: int
     ) -> None:
-        tally = self.tallies.setdefault(answer["rule"], RuleTally())
-        tally.micros.record_value(max(1, micros))
-        tally.coverage += answer["coverage"]
-        tally.answers += 1
-        tally.needed += needed
-        tally.request_ids.append((name, request_id))
+        stats = self.rule_stats.setdefault(answer["rule"], RuleStats())
+        stats.micros.record_value(max(1, micros))
+        stats.coverage += answer["coverage"]
+        stats.answers += 1
+        stats.required += required
+        stats.request_ids.append((name, request_id))
 
-    def extra_load(self, tally: RuleTally) -> float:
-        """Return the shard requests that reached the upstreams for each one needed, less one."""
-        received = sum(self.upstreams[name].received[item] for name, item in tally.request_ids)
-        return received / tally.needed - 1 if tally.needed else 0.0
+    def extra_load(self, stats: RuleStats) -> float:
+        """Return the ratio of additional shard requests to required ones."""
+        received = sum(self.upstreams[name].received[item] for name, item in stats.request_ids)
+        return received / stats.required - 1 if stats.required else 0.0
 
 
 def _table(run: DemoRun) -> Table:
     table = Table(title=f"{run.deployment.name}: {run.bookings} bookings, each sent twice")
     for column in ("rule", "answers", "p50 ms", "p99 ms", "mean coverage", "extra load"):
         table.add_column(column)
-    for rule, tally in sorted(run.tallies.items()):
+    for rule, stats in sorted(run.rule_stats.items()):
         table.add_row(
             rule,
-            str(tally.answers),
-            f"{tally.micros.get_value_at_percentile(50) / 1000:.1f}",
-            f"{tally.micros.get_value_at_percentile(99) / 1000:.1f}",
-            "one shard" if tally.bookings else f"{tally.coverage / tally.answers:.4f}",
-            f"{run.extra_load(tally):+.2%}",
+            str(stats.answers),
+            f"{stats.micros.get_value_at_percentile(50) / 1000:.1f}",
+            f"{stats.micros.get_value_at_percentile(99) / 1000:.1f}",
+            "one shard" if stats.bookings else f"{stats.coverage / stats.answers:.4f}",
+            f"{run.extra_load(stats):+.2%}",
         )
     return table
 
 
 def run_demo(queries: int, seed: int) -> int:
-    """Run the demo of both deployments and print what was measured.
+    """Run the demo of both deployments and print the measurements.
 
     Args:
-        queries: Queries for each upstream.
-        seed: Fixes the stand-ins' service times.
+        queries: Number of queries sent to each upstream.
+        seed: Seed of the stand-ins' service times and of the entries.
 
     Returns:
-        The exit code: 0 only if every answer was right.
+        The exit code: 0 if every answer was correct, otherwise 1.
     """
     console = Console()
     rules = parse_rules(tomllib.loads(RULES_FILE.read_text())["rule"])
-    wrong: list[Wrong] = []
+    wrong: list[WrongAnswer] = []
     for deployment in (BRAZOS, TRAFIKKFORBUND):
         with tempfile.TemporaryDirectory() as folder:
             run = DemoRun(deployment, rules, queries, seed, Path(folder))
             trio.run(run.run)
         console.print(_table(run))
         wrong += run.wrong
-    for item in wrong[:SHOWN_WRONG]:
+    for item in wrong[:MAX_SHOWN_ERRORS]:
         console.print(f"wrong answer to {item.request_id}: {item.why}")
     console.print("demo: failed" if wrong else "demo: ok")
     return 1 if wrong else 0
--- a/src/alderhatch/standin/demo_controls.py
+++ b/src/alderhatch/standin/demo_controls.py
@@ -1,4 +1,4 @@
-"""The control hosts of the demo, in the same loop as everything else."""
+"""The control hosts of the demo, run in its event loop."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from ..storage.files import DiskFiles
 
 LOOPBACK = "127.0.0.1"
-CONTROLS = 3
-RETRY_S = 0.05
+CONTROL_COUNT = 3
+RETRY_INTERVAL_S = 0.05
 OPERATOR = "demo"
-PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
-LOWEST_PORT = 10_000
-USUAL_LOWEST = 32_768
+EPHEMERAL_PORT_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
+MIN_PORT = 10_000
+DEFAULT_EPHEMERAL_MIN = 32_768
 
 
 class DemoControls:
-    """Three control hosts with real files and sockets.
+    """Three control hosts that use real files and sockets.
 
     Args:
-        folder: Where their data folders are made.
-        zones: The availability zones that they are spread over.
+        folder: Parent of their data folders.
+        zones: The availability zones that they are distributed over.
     """
 
     def __init__(self, folder: Path, zones: tuple[str, ...]) -> None:
@@ -46,18 +46,18 @@
         self._key = secrets.token_hex(16)
         self._folder = folder
         self._zones = zones
-        ports = _free_ports(2 * CONTROLS)
-        self._operator_ports = ports[CONTROLS:]
+        ports = _free_ports(2 * CONTROL_COUNT)
+        self._operator_ports = ports[CONTROL_COUNT:]
         self.endpoints = tuple(
             NamedEndpoint(name=f"control-{number + 1}", address=LOOPBACK, port=ports[number])
-            for number in range(CONTROLS)
+            for number in range(CONTROL_COUNT)
         )
-        """Where the hosts accept links."""
+        """Addresses at which the hosts accept links."""
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Run the hosts until cancelled."""
         async with trio.open_nursery() as nursery:
-            for number in range(CONTROLS):
+            for number in range(CONTROL_COUNT):
                 await nursery.start(self._run_host, number)
             task_status.started()
 
@@ -90,7 +90,7 @@
         )
 
     async def put_rules(self, rules: RuleList) -> None:
-        """Put a list of rules in force as an operator does; retry until there is a leader."""
+        """Replace the rules through the operator API; retry until there is a leader."""
         change = {"change_id": "demo-rules", "expected_revision": 0, "rules": rules.to_plain()}
         headers = [("Authorization", f"Bearer {self._key}")]
         while True:
@@ -103,34 +103,34 @@
                     continue
                 if reply.status == 200:
                     return
-            await trio.sleep(RETRY_S)
+            await trio.sleep(RETRY_INTERVAL_S)
 
 
 def _free_ports(count: int) -> list[int]:
-    """Return free ports for hosts that have to know each other's before any of them listens."""
-    # A port that the kernel chose and that is free again may be given to any connection of the
-    # demo before its host listens, seen as "address already in use". The kernel gives none below
-    # its range for that.
+    """Return free ports for hosts that need each other's ports before any of them listens."""
+    # The kernel may assign a released ephemeral port to a connection of the demo before the host
+    # listens on it, which then fails with "address already in use". Ports below the ephemeral range
+    # are never assigned that way.
     ports: list[int] = []
     while len(ports) < count:
-        port = LOWEST_PORT + secrets.randbelow(_lowest_of_kernel() - LOWEST_PORT)
+        port = MIN_PORT + secrets.randbelow(_min_ephemeral_port() - MIN_PORT)
         if port not in ports and _is_free(port):
             ports.append(port)
     return ports
 
 
-def _lowest_of_kernel() -> int:
+def _min_ephemeral_port() -> int:
     try:
-        lowest = int(PORT_RANGE.read_text().split()[0])
+        range_start = int(EPHEMERAL_PORT_RANGE_FILE.read_text().split()[0])
     except (OSError, ValueError):
-        return USUAL_LOWEST
-    return max(lowest, LOWEST_PORT + 1)
+        return DEFAULT_EPHEMERAL_MIN
+    return max(range_start, MIN_PORT + 1)
 
 
 def _is_free(port: int) -> bool:
-    with socket.socket() as one:
+    with socket.socket() as probe:
         try:
-            one.bind((LOOPBACK, port))
+            probe.bind((LOOPBACK, port))
         except OSError:
             return False
     return True
--- a/src/alderhatch/standin/deployments.py
+++ b/src/alderhatch/standin/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the brief, as shapes for the stand-ins."""
+"""The two example deployments, described for the stand-in upstreams."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Deployment(NamedTuple):
-    """One user's zones and upstreams, and the kinds of request that it makes."""
+    """Zones, upstreams and kinds of request of one organisation."""
 
     name: str
     zones: tuple[str, ...]
     upstreams: tuple[UpstreamShape, ...]
     kinds: dict[str, str]
-    """For each upstream the kind of request that the demo sends to it."""
+    """Kind of request that the demo sends to each upstream."""
     booked: str
-    """The upstream that the demo sends dispatches or bookings to."""
+    """Upstream that the demo sends bookings to."""
 
 
 BRAZOS = Deployment(
--- a/src/alderhatch/standin/garbled_answer.py
+++ b/src/alderhatch/standin/garbled_answer.py
@@ -1,4 +1,4 @@
-"""The bytes of answers that break the upstream protocol."""
+"""Builds answers that violate the upstream protocol."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class RawAnswer(NamedTuple):
-    """Bytes to be written as they are."""
+    """Bytes to write to the connection unchanged."""
 
     data: bytes
     repeat: bytes = b""
-    """Written again and again after that."""
+    """Written after the data, repeatedly until the connection closes."""
     pause_ms: float = 0.0
-    """Between two repeats."""
+    """Pause between two repeats."""
     close: bool = False
-    """Close the connection after the data."""
+    """Whether to close the connection after the data."""
 
 
 def http_answer(status: int, body: bytes, length: int | None = None) -> bytes:
-    """Return a whole HTTP answer, with a Content-Length that may be told to be wrong."""
+    """Return a complete HTTP response; ``length`` replaces its true Content-Length."""
     size = len(body) if length is None else length
     head = (
         f"HTTP/1.1 {status} X\r\nContent-Type: application/json\r\nContent-Length: {size}\r\n\r\n"
@@ -37,12 +37,12 @@
 def garbled_answer(
     kind: Garbage, answer: dict[str, Any], previous: dict[str, Any] | None
 ) -> RawAnswer:
-    """Return the bytes that stand in place of an answer.
+    """Return the invalid answer to send in place of the correct one.
 
     Args:
-        kind: How it is wrong.
-        answer: The right answer's body.
-        previous: The body of the server's previous answer, if there was one.
+        kind: How the answer violates the protocol.
+        answer: Body of the correct answer.
+        previous: Body of the server's previous answer, or None if there was none.
     """
     body = orjson.dumps(answer)
     match kind:
@@ -51,17 +51,17 @@
         case Garbage.NOT_AN_OBJECT:
             return RawAnswer(http_answer(200, b"[1]"))
         case Garbage.WRONG_ID:
-            return _changed(answer, id="another-1")
+            return _with_fields(answer, id="another-1")
         case Garbage.CROSSED:
             return RawAnswer(http_answer(200, orjson.dumps(previous or answer | {"id": "other"})))
         case Garbage.WRONG_SHARD:
-            return _changed(answer, shard="another")
+            return _with_fields(answer, shard="another")
         case Garbage.WRONG_VERSION:
-            return _changed(answer, version=answer["version"] + 1)
+            return _with_fields(answer, version=answer["version"] + 1)
         case Garbage.MISSING_ROWS:
-            return _changed(answer, rows=None)
+            return _with_fields(answer, rows=None)
         case Garbage.ROWS_NO_LIST:
-            return _changed(answer, rows={"0": "row"})
+            return _with_fields(answer, rows={"0": "row"})
         case Garbage.SHORT_LENGTH:
             return RawAnswer(http_answer(200, body, len(body) - 5))
         case Garbage.LONG_LENGTH:
@@ -89,7 +89,7 @@
             return _refusal(404, "shed", answer["id"])
 
 
-def _changed(answer: dict[str, Any], **fields: object) -> RawAnswer:
+def _with_fields(answer: dict[str, Any], **fields: object) -> RawAnswer:
     return RawAnswer(http_answer(200, orjson.dumps(answer | fields)))
 
 
--- a/src/alderhatch/standin/server_faults.py
+++ b/src/alderhatch/standin/server_faults.py
@@ -1,4 +1,4 @@
-"""The ways in which one stand-in server can be told to fail."""
+"""Faults that can be injected into one stand-in server."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Garbage(StrEnum):
-    """Answers to shard requests that are none, or not the one that was asked for."""
+    """Kinds of invalid answer to a shard request."""
 
     BAD_JSON = "bad_json"
     NOT_AN_OBJECT = "not_an_object"
     WRONG_ID = "wrong_id"
     CROSSED = "crossed"
-    """The whole answer to the server's previous shard request."""
+    """The complete answer to the server's previous shard request."""
     WRONG_SHARD = "wrong_shard"
     WRONG_VERSION = "wrong_version"
     MISSING_ROWS = "missing_rows"
@@ -31,49 +31,49 @@
     INFORMATIONAL_FLOOD = "informational_flood"
     NOT_HTTP = "not_http"
     ANSWER_TWICE = "answer_twice"
-    """The right answer, and behind it one with the rows of another."""
+    """The correct answer, followed by a second one with false rows."""
     DRIP = "drip"
-    """A byte of the body now and then, without end."""
+    """Single bytes of the body with pauses, without end."""
     ERROR_PAGE = "error_page"
-    """An intermediary's page of status 503 that does not name the request."""
+    """An intermediary's page with status 503 that does not name the request."""
     CROSSED_REFUSAL = "crossed_refusal"
     """A refusal that names another request."""
     WRONG_STATUS = "wrong_status"
-    """A protocol error under a status that does not belong to it."""
+    """A protocol error with a status of another error."""
 
 
 class FrozenSide(StrEnum):
-    """Which direction of a connection has gone silent."""
+    """Direction of a connection that has stopped without an error."""
 
     READ = "read"
-    """Requests no longer arrive at the server."""
+    """Requests no longer reach the server."""
     WRITE = "write"
-    """Requests arrive and run; answers no longer get back."""
+    """Requests reach the server and run; their answers are not sent."""
 
 
 @dataclass
 class ServerFaults:
-    """What one server does wrong at present. Every field can be set while it runs."""
+    """Current faults of one server. Every field can be set while it runs."""
 
     straggle_ms: Millis = 0.0
     """Added to the time of each shard request."""
     lose: bool = False
-    """Closes the connection on each shard request after it was read."""
+    """Closes the connection after reading a shard request."""
     crash_on: bytes | None = None
-    """Crashes once a shard request has this in its body."""
+    """Crashes on a shard request that has this in its body."""
     shed_ms: Millis | None = None
-    """Sheds each shard request and says to come back after this time."""
+    """Sheds each shard request, with this time in Retry-After."""
     draining: bool = False
     garbage: Garbage | None = None
     health_state: str | None = None
-    """What the health endpoint says in place of the truth."""
+    """State that the health endpoint reports instead of the true one."""
     health_silent: bool = False
     """The health endpoint never answers."""
     report_load: tuple[int, int] | None = None
-    """In flight and queued, as reported in place of the truth."""
+    """Requests in flight and queued, reported instead of the true numbers."""
     cold_ms: Millis = 0.0
-    """How long after a start it is cold."""
+    """How long the server is cold after a start."""
     cold_factor: float = 10.0
-    """How much longer shard requests take while it is cold."""
+    """Factor on the time of shard requests while it is cold."""
     restart_ms: Millis = 200.0
-    """How long it is gone after a crash."""
+    """Downtime after a crash."""
--- a/src/alderhatch/standin/standin_connection.py
+++ b/src/alderhatch/standin/standin_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in server: HTTP by h11, but with every way to break it."""
+"""One connection to a stand-in server: requests are parsed by h11, answers are raw bytes."""
 
 from __future__ import annotations
 
@@ -13,64 +13,64 @@
 from .server_faults import FrozenSide
 
 READ_BYTES = 65_536
-PROGRESS_EVERY: Millis = 200.0
+PROGRESS_INTERVAL: Millis = 200.0
 
 
-class Ask(NamedTuple):
-    """One request as it was read."""
+class ParsedRequest(NamedTuple):
+    """One request that was read completely."""
 
     method: str
     path: str
     body: bytes
 
 
-AskHandler: TypeAlias = Callable[[Ask], Awaitable[RawAnswer | None]]
+RequestHandler: TypeAlias = Callable[[ParsedRequest], Awaitable[RawAnswer | None]]
 """Answers one request; None closes the connection without an answer."""
 
 
 class StandinConnection:
-    """Reads requests and writes what the handler returns, byte by byte as it is.
+    """Reads requests and writes the handler's answers unchanged.
 
     Args:
         stream: The accepted connection.
-        handler: Answers one request; it is cancelled when the other end closes.
+        handler: Answers one request; cancelled when the peer closes the connection.
     """
 
-    def __init__(self, stream: trio.SocketStream, handler: AskHandler) -> None:
+    def __init__(self, stream: trio.SocketStream, handler: RequestHandler) -> None:
         self._stream = stream
         self._handler = handler
         self._http = h11.Connection(h11.SERVER)
         self.frozen: FrozenSide | None = None
-        """Which direction has gone silent; the other end is not told."""
+        """Direction that has stopped; the peer is not notified."""
         self.cancelled = 0
-        """Requests whose other end went away before the answer."""
+        """Number of requests whose peer closed the connection before the answer."""
 
     def close(self) -> None:
         """Close the connection at once."""
         self._stream.socket.close()
 
     async def run(self) -> None:
-        """Serve until the other end closes."""
+        """Serve until the peer closes the connection."""
         while True:
-            ask = await self._read()
-            if ask is None:
+            req = await self._read()
+            if req is None:
                 return
             if self.frozen is FrozenSide.READ:
-                await self._until_closed()
+                await self._wait_until_closed()
                 return
-            answer = await self._answer(ask)
+            answer = await self._answer(req)
             if answer is None:
                 return
             if self.frozen is FrozenSide.WRITE:
-                await self._until_closed()
+                await self._wait_until_closed()
                 return
             await self._write(answer)
             if answer.close:
                 return
-            # A fresh parser, since what was written need not have been an answer at all.
+            # h11 did not see the answer, which may be invalid HTTP: start with a new parser.
             self._http = h11.Connection(h11.SERVER)
 
-    async def _read(self) -> Ask | None:
+    async def _read(self) -> ParsedRequest | None:
         head: h11.Request | None = None
         body = b""
         while True:
@@ -85,34 +85,34 @@
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return Ask(head.method.decode(), head.target.decode(), body)
+                return ParsedRequest(head.method.decode(), head.target.decode(), body)
             else:
                 return None
 
-    async def _answer(self, ask: Ask) -> RawAnswer | None:
+    async def _answer(self, req: ParsedRequest) -> RawAnswer | None:
         answer: RawAnswer | None = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch, nursery.cancel_scope)
-            nursery.start_soon(self._show_progress)
-            answer = await self._handler(ask)
+            nursery.start_soon(self._cancel_on_close, nursery.cancel_scope)
+            nursery.start_soon(self._send_progress)
+            answer = await self._handler(req)
             nursery.cancel_scope.cancel()
         return answer
 
-    async def _watch(self, scope: trio.CancelScope) -> None:
+    async def _cancel_on_close(self, scope: trio.CancelScope) -> None:
         try:
-            await self._until_closed()
+            await self._wait_until_closed()
         finally:
             if not scope.cancel_called:
                 self.cancelled += 1
                 scope.cancel()
 
-    async def _show_progress(self) -> None:
+    async def _send_progress(self) -> None:
         while True:
-            await trio.sleep(PROGRESS_EVERY / SECOND)
+            await trio.sleep(PROGRESS_INTERVAL / SECOND)
             if self.frozen is not FrozenSide.WRITE:
                 await self._stream.send_all(PROCESSING)
 
-    async def _until_closed(self) -> None:
+    async def _wait_until_closed(self) -> None:
         try:
             while await self._stream.receive_some(READ_BYTES):
                 pass
--- a/src/alderhatch/standin/standin_platform.py
+++ b/src/alderhatch/standin/standin_platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: its lagging list of live and leaving hosts."""
+"""A stand-in for the platform, which serves a list of live and leaving hosts."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class StandinPlatform:
-    """Serves the list; what is on it is set by whoever runs it, as late as they like."""
+    """Serves a host list that the test sets, so that it can lag behind the real hosts."""
 
     def __init__(self) -> None:
         self.port = 0
         self.states: dict[int, str] = {}
-        """``live`` or ``leaving`` for each port on loopback."""
+        """State of the host at each loopback port, ``live`` or ``leaving``."""
         self.fetch_count = 0
-        """How often the list was fetched."""
+        """Number of times the list was fetched."""
         self.returns_invalid_list = False
-        """Answers with something that is no list."""
+        """Whether to answer with a document that has no valid list."""
 
     async def serve(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled."""
+        """Serve the list until cancelled."""
         listeners = await trio.open_tcp_listeners(0, host=LOOPBACK)
         self.port = listeners[0].socket.getsockname()[1]
         async with trio.open_nursery() as nursery:
@@ -35,7 +35,7 @@
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
         if (req.method, req.path) != ("GET", "/hosts"):
-            raise AlderhatchError(Failure(ErrorKind.NOT_FOUND, f"nothing at {req.path}"))
+            raise AlderhatchError(Failure(ErrorKind.NOT_FOUND, f"no resource at {req.path}"))
         self.fetch_count += 1
         if self.returns_invalid_list:
             return json_response(200, {"hosts": "all of them"})
--- a/src/alderhatch/standin/standin_server.py
+++ b/src/alderhatch/standin/standin_server.py
@@ -15,14 +15,14 @@
 from .corpus import Corpus, Layout
 from .garbled_answer import RawAnswer, garbled_answer, http_answer
 from .server_faults import FrozenSide, ServerFaults
-from .standin_connection import Ask, StandinConnection
+from .standin_connection import ParsedRequest, StandinConnection
 
-MAX_COUNTED = 100_000
-"""Request ids whose shard requests are counted; then the count starts anew."""
+MAX_COUNTED_REQUESTS = 100_000
+"""Number of request IDs after which the counts of shard requests are cleared."""
 
 
 class UpstreamShape(NamedTuple):
-    """How many servers an upstream has, and what each can do."""
+    """Number of servers of an upstream and the capacity of each."""
 
     name: str
     shards: int
@@ -30,11 +30,11 @@
     slots: int
     connections: int
     connect_ms: Millis
-    """What a new connection costs a server."""
+    """Time that a server takes to set up a new connection."""
 
 
 class ServiceTime(NamedTuple):
-    """How long a shard request takes: log-normal, with stragglers now and then."""
+    """Distribution of the time of a shard request: log-normal, with occasional stragglers."""
 
     median: Millis = 2.0
     sigma: float = 0.5
@@ -42,15 +42,15 @@
     straggler_factor: float = 10.0
 
     def draw(self, rng: Random) -> Millis:
-        """Return the time of one shard request."""
+        """Return a random time of one shard request."""
         if not self.median:
             return 0.0
-        span = self.median * rng.lognormvariate(0.0, self.sigma)
-        return span * self.straggler_factor if rng.random() < self.straggler_share else span
+        duration = self.median * rng.lognormvariate(0.0, self.sigma)
+        return duration * self.straggler_factor if rng.random() < self.straggler_share else duration
 
 
-class Indexes(Protocol):
-    """What a server needs of its upstream."""
+class UpstreamState(Protocol):
+    """The upstream's data that its servers use."""
 
     shape: UpstreamShape
     service_time: ServiceTime
@@ -61,37 +61,37 @@
     received: Counter[str]
 
     def map_as_json(self) -> dict[str, object]:
-        """Return the newest shard map as the protocol shows it."""
+        """Return the newest shard map in the JSON form of the upstream protocol."""
 
 
 class ServerCounts:
-    """What a server has seen since it was made, whatever crashes lie between."""
+    """Counters of one server, which its crashes do not reset."""
 
     def __init__(self) -> None:
         self.received = 0
-        """Shard requests that arrived."""
+        """Number of shard requests received."""
         self.answered = 0
-        """Shard requests that were run to their end."""
+        """Number of shard requests completed."""
         self.cancelled = 0
-        """Shard requests whose entry went away while they were under way."""
+        """Number of requests whose entry closed the connection before the answer."""
         self.connections = 0
         self.most_connections = 0
         self.over_limit = 0
-        """Connections that came when the limit was reached; they are closed at once."""
+        """Number of connections beyond the limit; they are closed at once."""
         self.crashes = 0
 
 
 class StandinServer:
-    """One server, which can be told to fail.
+    """One server, into which faults can be injected.
 
     Args:
-        upstream: What it is a part of.
-        server_id: Its id.
+        upstream: The upstream that the server belongs to.
+        server_id: Its ID.
         zone: Its availability zone.
-        rng: Its source of service times.
+        rng: Random source of its service times.
     """
 
-    def __init__(self, upstream: Indexes, server_id: str, zone: str, rng: Random) -> None:
+    def __init__(self, upstream: UpstreamState, server_id: str, zone: str, rng: Random) -> None:
         self.upstream = upstream
         self.server_id = server_id
         self.zone = zone
@@ -99,18 +99,18 @@
         self.faults = ServerFaults()
         self.counts = ServerCounts()
         self.missing_snapshots: set[Snapshot] = set()
-        """Snapshots that it does not hold although its upstream does."""
+        """Snapshots that this server does not hold although its upstream does."""
         self._rng = rng
         self._boot = 0
         self._started_at: Millis = 0.0
         self._connections: set[StandinConnection] = set()
         self._previous: dict[str, Any] | None = None
         self._slots = trio.CapacityLimiter(upstream.shape.slots)
-        self._life: trio.CancelScope | None = None
+        self._run_scope: trio.CancelScope | None = None
         self._clock = LoopClock()
 
     async def serve(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Listen on a port that the kernel chooses until cancelled; come back after a crash."""
+        """Serve until cancelled; restart after a crash. Port 0: the kernel chooses the port."""
         started: Callable[[], None] | None = task_status.started
         while True:
             listeners = await trio.open_tcp_listeners(self.port, host="127.0.0.1")
@@ -118,7 +118,7 @@
             self._boot += 1
             self._started_at = self._clock.now()
             self._slots = trio.CapacityLimiter(self.upstream.shape.slots)
-            with trio.CancelScope() as self._life:
+            with trio.CancelScope() as self._run_scope:
                 if started is not None:
                     started()
                     started = None
@@ -126,29 +126,29 @@
             await trio.sleep(self.faults.restart_ms / SECOND)
 
     def crash(self) -> None:
-        """Close everything at once; the server comes back after a while with another boot id."""
+        """Close listener and connections; restart after ``restart_ms`` with a new boot ID."""
         self.counts.crashes += 1
-        if self._life is not None:
-            self._life.cancel()
+        if self._run_scope is not None:
+            self._run_scope.cancel()
 
     def freeze_open_connections(self, side: FrozenSide) -> None:
-        """Let every connection that is open now go silent; new ones work."""
+        """Stop one direction of all open connections; new connections are not affected."""
         for conn in self._connections:
             conn.frozen = side
 
     def close_open_connections(self) -> None:
-        """Close every open connection, as a server does with idle ones."""
+        """Close all open connections, as servers do with idle ones."""
         for conn in self._connections:
             conn.close()
 
     @property
     def silent_connections(self) -> int:
-        """How many open connections have gone silent."""
+        """Number of open connections with a stopped direction."""
         return sum(conn.frozen is not None for conn in self._connections)
 
     @property
     def boot_id(self) -> str:
-        """Changes with each start."""
+        """The boot ID, which changes with each start."""
         return f"{self.server_id}-boot-{self._boot}"
 
     async def _on_connection(self, stream: trio.SocketStream) -> None:
@@ -172,21 +172,21 @@
             self._connections.discard(conn)
             stream.socket.close()
 
-    async def _handle(self, ask: Ask) -> RawAnswer | None:
-        match (ask.method, ask.path):
+    async def _handle(self, req: ParsedRequest) -> RawAnswer | None:
+        match (req.method, req.path):
             case ("GET", "/shard-map"):
                 return _json(200, self.upstream.map_as_json())
             case ("GET", "/health"):
                 return await self._health()
             case ("POST", "/shard"):
-                return await self._run(ask.body)
+                return await self._run_shard_request(req.body)
         return _json(404, {"error": "not_found"})
 
     async def _health(self) -> RawAnswer:
         if self.faults.health_silent:
             await trio.sleep_forever()
-        truth = "draining" if self.faults.draining else "starting" if self._cold else "ready"
-        state = self.faults.health_state or truth
+        true_state = "draining" if self.faults.draining else "starting" if self._cold else "ready"
+        state = self.faults.health_state or true_state
         return _json(200, {"state": state, "boot_id": self.boot_id, "load": self._load()})
 
     @property
@@ -200,7 +200,7 @@
         stats = self._slots.statistics()
         return {"in_flight": stats.borrowed_tokens, "queued": stats.tasks_waiting}
 
-    async def _run(self, body: bytes) -> RawAnswer | None:
+    async def _run_shard_request(self, body: bytes) -> RawAnswer | None:
         self.counts.received += 1
         faults = self.faults
         if faults.lose:
@@ -208,55 +208,57 @@
         if faults.crash_on is not None and faults.crash_on in body:
             self.crash()
             await trio.sleep_forever()
-        ask = orjson.loads(body)
-        self._count(ask["request_id"])
-        refusal = self._refuse(ask)
+        request = orjson.loads(body)
+        self._count_request(request["request_id"])
+        refusal = self._find_refusal(request)
         if refusal is not None:
             return refusal
-        if not ask["idempotent"]:
-            self.upstream.runs.append((ask["request_id"], self.server_id))
+        if not request["idempotent"]:
+            self.upstream.runs.append((request["request_id"], self.server_id))
         async with self._slots:
-            span = self.upstream.service_time.draw(self._rng) + faults.straggle_ms
-            await trio.sleep(span * (faults.cold_factor if self._cold else 1.0) / SECOND)
-        answer = self._answer_to(ask)
+            duration = self.upstream.service_time.draw(self._rng) + faults.straggle_ms
+            await trio.sleep(duration * (faults.cold_factor if self._cold else 1.0) / SECOND)
+        answer = self._build_answer(request)
         previous, self._previous = self._previous, answer
         self.counts.answered += 1
         if faults.garbage is not None:
             return garbled_answer(faults.garbage, answer, previous)
         return _json(200, answer)
 
-    def _count(self, request_id: str) -> None:
+    def _count_request(self, request_id: str) -> None:
         received = self.upstream.received
-        if len(received) >= MAX_COUNTED:
+        if len(received) >= MAX_COUNTED_REQUESTS:
             received.clear()
         received[request_id] += 1
 
-    def _refuse(self, ask: dict[str, Any]) -> RawAnswer | None:
+    def _find_refusal(self, request: dict[str, Any]) -> RawAnswer | None:
         if self.faults.shed_ms is not None:
             after = max(1, round(self.faults.shed_ms / SECOND))
-            return _json(503, {"id": ask["id"], "error": "shed"}, retry_after=after)
+            return _json(503, {"id": request["id"], "error": "shed"}, retry_after=after)
         if self.faults.draining:
-            return _json(503, {"id": ask["id"], "error": "draining"})
-        snapshot = Snapshot(ask["version"], ask["epoch"])
+            return _json(503, {"id": request["id"], "error": "draining"})
+        snapshot = Snapshot(request["version"], request["epoch"])
         layout = self.upstream.layouts.get(snapshot)
         if layout is None or snapshot in self.missing_snapshots:
-            return _json(409, {"id": ask["id"], "error": "version_gone"})
-        if self.server_id not in layout.servers.get(ask["shard"], ()):
-            return _json(400, {"id": ask["id"], "error": "refused"})
+            return _json(409, {"id": request["id"], "error": "version_gone"})
+        if self.server_id not in layout.servers.get(request["shard"], ()):
+            return _json(400, {"id": request["id"], "error": "refused"})
         return None
 
-    def _answer_to(self, ask: dict[str, Any]) -> dict[str, Any]:
-        # What was begun is read to its end, even if the snapshot was forgotten meanwhile.
-        layout = self.upstream.published[Snapshot(ask["version"], ask["epoch"])]
-        if ask["idempotent"]:
-            rows = self.upstream.corpus.rows(layout, ask["shard"], ask["query"].get("topic", ""))
+    def _build_answer(self, request: dict[str, Any]) -> dict[str, Any]:
+        # A running request completes even if its snapshot has been dropped since it began.
+        layout = self.upstream.published[Snapshot(request["version"], request["epoch"])]
+        if request["idempotent"]:
+            rows = self.upstream.corpus.rows(
+                layout, request["shard"], request["query"].get("topic", "")
+            )
         else:
-            rows = [{"ran": ask["request_id"], "shard": ask["shard"]}]
+            rows = [{"ran": request["request_id"], "shard": request["shard"]}]
         return {
-            "id": ask["id"],
-            "shard": ask["shard"],
-            "version": ask["version"],
-            "epoch": ask["epoch"],
+            "id": request["id"],
+            "shard": request["shard"],
+            "version": request["version"],
+            "epoch": request["epoch"],
             "rows": rows,
             "load": self._load(),
         }
--- a/src/alderhatch/standin/standin_upstream.py
+++ b/src/alderhatch/standin/standin_upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in upstream on loopback that speaks the published upstream protocol."""
+"""A stand-in upstream on loopback that implements the upstream protocol."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     """All servers of one stand-in upstream.
 
     Args:
-        shape: Its size.
-        zones: The availability zones that its servers are spread over.
-        documents_per_shard: How many documents each shard holds.
-        seed: Fixes the service times.
-        service_time: How long shard requests take.
+        shape: Number and capacity of its servers.
+        zones: The availability zones that its servers are distributed over.
+        documents_per_shard: Number of documents in each shard.
+        seed: Seed of the service times.
+        service_time: Distribution of the time of a shard request.
     """
 
     def __init__(
@@ -35,19 +35,19 @@
         self.corpus = Corpus(shape.name)
         self.service_time = service_time
         self.runs: list[tuple[str, str]] = []
-        """Request id and server of each run of a request that may not be repeated."""
+        """Request ID and server of each run of a non-idempotent request."""
         shards = [f"s{number:02d}" for number in range(shape.shards)]
         holders = {
             shard: tuple(f"{shape.name}-{shard[1:]}-{n}" for n in range(shape.servers_per_shard))
             for shard in shards
         }
         self.received: Counter[str] = Counter()
-        """Shard requests that reached the servers, by the caller's request id."""
+        """Number of shard requests received by the servers, by the caller's request ID."""
         first = Layout(Snapshot(1, 1), dict.fromkeys(shards, documents_per_shard), holders)
         self.layouts = {first.snapshot: first}
-        """What the servers hold, by snapshot; the last one is the newest."""
+        """Layouts of the snapshots that the servers hold; the last one is the newest."""
         self.published = dict(self.layouts)
-        """All that the servers ever held, to check answers by."""
+        """Layouts of all snapshots ever published, by which answers are checked."""
         self.servers = [
             self._make_server(number + replica, server_id, zones, seed)
             for number, shard in enumerate(shards)
@@ -62,26 +62,26 @@
 
     @property
     def newest(self) -> Layout:
-        """What new queries should read."""
+        """The layout of the newest snapshot."""
         return next(reversed(self.layouts.values()))
 
     def server(self, server_id: str) -> StandinServer:
-        """Return the server of an id.
+        """Return the server with an ID.
 
         Raises:
-            StopIteration: If there is none.
+            StopIteration: If there is no such server.
         """
         return next(item for item in self.servers if item.server_id == server_id)
 
     def holders(self, shard: str) -> list[StandinServer]:
-        """Return the servers that hold a shard of the newest layout."""
+        """Return the servers that hold a shard in the newest layout."""
         return [self.server(server_id) for server_id in self.newest.servers[shard]]
 
     def publish_version(self) -> Snapshot:
-        """Add the next index version, with the shards as they are."""
-        last = self.newest
-        snapshot = Snapshot(last.snapshot.version + 1, last.snapshot.epoch)
-        return self._publish(last._replace(snapshot=snapshot))
+        """Publish the next index version with unchanged shards."""
+        current = self.newest
+        snapshot = Snapshot(current.snapshot.version + 1, current.snapshot.epoch)
+        return self._publish(current._replace(snapshot=snapshot))
 
     def _publish(self, layout: Layout) -> Snapshot:
         self.layouts[layout.snapshot] = layout
@@ -89,24 +89,24 @@
         return layout.snapshot
 
     def repartition(self) -> Snapshot:
-        """Split each shard in two of unequal size, on the same servers, in a new epoch."""
-        last = self.newest
-        snapshot = Snapshot(last.snapshot.version + 1, last.snapshot.epoch + 1)
+        """Split each shard into two of unequal size on the same servers, in a new epoch."""
+        current = self.newest
+        snapshot = Snapshot(current.snapshot.version + 1, current.snapshot.epoch + 1)
         documents: dict[str, int] = {}
         servers: dict[str, tuple[str, ...]] = {}
-        for shard, count in last.documents.items():
+        for shard, count in current.documents.items():
             small = count // 3
             for name, size in ((f"{shard}a", small), (f"{shard}b", count - small)):
                 documents[name] = size
-                servers[name] = last.servers[shard]
+                servers[name] = current.servers[shard]
         return self._publish(Layout(snapshot, documents, servers))
 
     def drop_snapshot(self, snapshot: Snapshot) -> None:
-        """Let all servers drop a snapshot."""
+        """Drop a snapshot from all servers."""
         del self.layouts[snapshot]
 
     def map_as_json(self) -> dict[str, object]:
-        """Return the newest shard map as the protocol shows it."""
+        """Return the newest shard map in the JSON form of the upstream protocol."""
         layout = self.newest
         return {
             "upstream": self.shape.name,
