--- a/features/fresh_environment.feature
+++ b/features/fresh_environment.feature
@@ -1,14 +1,13 @@
-Feature: A newcomer's machine
+Feature: A fresh environment
 
-  Scenario Outline: What the README names works in a fresh copy with an environment of its own
-    # Somebody clones the repository on a machine that has nothing of it. A library that is missing
-    # from the pinned lists, or a file that was never committed, is noticed by nobody who has worked
-    # here before.
-    Given a copy of the committed files in a folder of its own
-    When "make <words>" runs there
+  Scenario Outline: Commands of the README work in a fresh copy with a new environment
+    # Guards against a library that is missing from the pinned requirements and a file that was
+    # never committed. Neither shows in an environment that has been used before.
+    Given a copy of the committed files in a new folder
+    When "make <arguments>" runs there
     Then it ends with exit code 0 and its last line is "<last>"
 
     Examples:
-      | words                                | last               |
+      | arguments                            | last               |
       | demo                                 | demo: ok           |
       | test FEATURES=features/rules.feature | 25 passed, 0 failed |
--- a/features/steps/demo_steps.py
+++ b/features/steps/demo_steps.py
@@ -12,11 +12,11 @@
 def step_run_demo(context, queries):
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
-        context.demo_code = run_demo(queries, 1)
+        context.demo_exit_code = run_demo(queries, 1)
     context.demo_output = output.getvalue()
 
 
-@then('it exits with {code:d} and its last line is "{line}"')
+@then('it returns exit code {code:d} and its last line is "{line}"')
 def step_demo_result(context, code, line):
-    assert context.demo_code == code, context.demo_output
+    assert context.demo_exit_code == code, context.demo_output
     assert context.demo_output.strip().splitlines()[-1] == line, context.demo_output
--- a/features/steps/fresh_environment_steps.py
+++ b/features/steps/fresh_environment_steps.py
@@ -9,11 +9,11 @@
 from features.support.cli_support import new_folder
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_S = 800
-NOT_HANDED_ON = ("VENV", "PYTHONPATH", "MAKEFLAGS", "MAKELEVEL", "MFLAGS", "VIRTUAL_ENV")
+MAKE_TIMEOUT_S = 800
+EXCLUDED_ENV_VARS = ("VENV", "PYTHONPATH", "MAKEFLAGS", "MAKELEVEL", "MFLAGS", "VIRTUAL_ENV")
 
 
-@given("a copy of the committed files in a folder of its own")
+@given("a copy of the committed files in a new folder")
 def step_copy(context):
     context.copy = new_folder(context)
     listing = subprocess.run(["git", "ls-files", "-z"], cwd=ROOT, capture_output=True, check=True)
@@ -25,21 +25,21 @@
         target.write_bytes((ROOT / name).read_bytes())
 
 
-@when('"make {words}" runs there')
-def step_make(context, words):
-    env = {name: value for name, value in os.environ.items() if name not in NOT_HANDED_ON}
-    context.made = subprocess.run(
-        ["make", "--no-print-directory", *words.split()],
+@when('"make {arguments}" runs there')
+def step_make(context, arguments):
+    env = {name: value for name, value in os.environ.items() if name not in EXCLUDED_ENV_VARS}
+    context.result = subprocess.run(
+        ["make", "--no-print-directory", *arguments.split()],
         cwd=context.copy,
         env=env,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=MAKE_TIMEOUT_S,
     )
 
 
 @then('it ends with exit code {code:d} and its last line is "{last}"')
 def step_last_line(context, code, last):
-    shown = context.made.stdout[-2000:] + context.made.stderr[-2000:]
-    assert context.made.returncode == code, shown
-    assert context.made.stdout.splitlines()[-1] == last, shown
+    output = context.result.stdout[-2000:] + context.result.stderr[-2000:]
+    assert context.result.returncode == code, output
+    assert context.result.stdout.splitlines()[-1] == last, output
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -13,23 +13,23 @@
     context.tier = Tier(controls, entries)
     context.add_cleanup(context.tier.close)
     context.rule_count = 0
-    context.victim = None
+    context.failed_control = None
     context.tier.start()
 
 
-@given("each server of the tier's upstream takes {span:d} ms longer")
-def step_slow(context, span):
+@given("each server of the tier's upstream takes {delay_ms:d} ms longer")
+def step_add_delay(context, delay_ms):
     for server in context.tier.upstream.upstream.servers:
-        server.faults.straggle_ms = float(span)
+        server.faults.straggle_ms = float(delay_ms)
 
 
-@when("each entry of the tier is asked a query")
-def step_ask_each(context):
+@when("each entry of the tier is sent a query")
+def step_query_each(context):
     context.answers = [context.tier.query(name, "route") for name in context.tier.entries]
 
 
-@then("each of the tier's answers covers every index and names one snapshot")
-def step_whole(context):
+@then("each of the tier's answers has full coverage and names the same snapshot")
+def step_full_coverage(context):
     for reply in context.answers:
         assert reply is not None and reply.status == 200, reply
         assert reply.body["coverage"] == 1.0 and reply.body["missing"] == [], reply
@@ -50,7 +50,7 @@
 
 
 @then("both of the tier's answers to the dispatch are the same")
-def step_same(context):
+def step_same_answers(context):
     assert context.second is not None and context.second.status == 200, context.second
     assert context.second.body["rows"] == context.first.body["rows"]
     assert context.second.body["snapshot"] == context.first.body["snapshot"]
@@ -71,35 +71,35 @@
 @given("{count:d} rules were accepted by the tier")
 @when("{count:d} more rules are accepted by the tier")
 def step_add_rules(context, count):
-    among = [name for name in context.tier.controls if name != context.victim]
+    control_names = [name for name in context.tier.controls if name != context.failed_control]
     for _ in range(count):
         context.rule_count += 1
-        last = context.tier.add_rule(f"rule-{context.rule_count}", among)
+        last = context.tier.add_rule(f"rule-{context.rule_count}", control_names)
     context.revision = last["revision"]
 
 
-@when("the tier's leading control host is {what}")
-def step_hurt_leader(context, what):
-    context.victim = context.tier.leader()
-    program = context.tier.controls[context.victim]
-    if what == "killed":
+@when("the tier's leading control host is {action}")
+def step_fail_leader(context, action):
+    context.failed_control = context.tier.leader()
+    program = context.tier.controls[context.failed_control]
+    if action == "killed":
         program.kill()
     else:
-        assert what == "frozen", what
+        assert action == "suspended", action
         program.send(signal.SIGSTOP)
 
 
 @when("the tier's killed control host is started again")
 def step_restart(context):
-    context.tier.controls[context.victim].start()
+    context.tier.controls[context.failed_control].start()
 
 
-@when("the tier's frozen control host wakes")
-def step_wake(context):
-    context.tier.controls[context.victim].send(signal.SIGCONT)
+@when("the tier's suspended control host resumes")
+def step_resume(context):
+    context.tier.controls[context.failed_control].send(signal.SIGCONT)
 
 
-@then("all control hosts of the tier come to the same {count:d} rules")
+@then("eventually all control hosts of the tier have the same {count:d} rules")
 def step_same_rules(context, count):
     expected = [f"rule-{number}" for number in range(count, 0, -1)]
     for name in context.tier.controls:
@@ -110,19 +110,19 @@
         assert rules
 
 
-@then("the tier's revision is what it was")
+@then("the tier's revision is unchanged")
 def step_revision(context):
     assert context.tier.get_from_leader("/v1/rules")["revision"] == context.revision
 
 
-@then("each entry of the tier answers a query")
+@then("eventually each entry of the tier answers a query")
 def step_each_answers(context):
     for name in context.tier.entries:
-        until(lambda name=name: context.tier.serves(name), f"{name} answers")
+        until(lambda name=name: context.tier.serves(name), f"{name} answers a query")
 
 
 @when("all processes of the tier are killed and started again")
-def step_power_cut(context):
+def step_restart_all(context):
     for program in context.tier.programs.values():
         program.kill()
     for program in context.tier.programs.values():
@@ -139,7 +139,7 @@
     caller.join()
 
 
-@when('entry "{entry}" of the tier is sent dispatch "{request_id}" until it answers for good')
+@when('entry "{entry}" of the tier is sent dispatch "{request_id}" until its answer is final')
 def step_resend(context, entry, request_id):
     def final():
         reply = context.tier.run(entry, request_id)
@@ -151,13 +151,13 @@
 
 
 @then("the tier's last answer to the dispatch says that it may have run")
-def step_unknown(context):
+def step_outcome_unknown(context):
     assert context.last.status == 504, context.last
     assert context.last.body["error"] == "outcome_unknown", context.last
     assert context.last.body["ran"] == "unknown", context.last
 
 
-@when('entry "{entry}" of the tier is stopped while callers ask it without pause')
+@when('entry "{entry}" of the tier is stopped while callers send it queries without pause')
 def step_stop_under_load(context, entry):
     context.replies = []
     context.stopped = entry
@@ -174,7 +174,7 @@
     callers = [threading.Thread(target=caller) for _ in range(4)]
     for thread in callers:
         thread.start()
-    until(lambda: len(context.replies) >= 20, "twenty answers")
+    until(lambda: len(context.replies) >= 20, "20 answers received")
     program.send(signal.SIGTERM)
     context.exit_code = program.wait()
     program_done.set()
@@ -187,25 +187,25 @@
     assert context.exit_code == code, context.tier.entries[context.stopped].log()
 
 
-@then("every query sent to it in the tier was answered whole or truly refused as not run")
-def step_nothing_cut_off(context):
-    whole = [reply for reply in context.replies if reply is not None and reply.status == 200]
-    other = [reply for reply in context.replies if reply is None or reply.status != 200]
-    assert len(whole) >= 20
-    for reply in whole:
+@then("every query sent to it in the tier was answered completely or refused as not run")
+def step_no_query_lost(context):
+    complete = [reply for reply in context.replies if reply is not None and reply.status == 200]
+    incomplete = [reply for reply in context.replies if reply is None or reply.status != 200]
+    assert len(complete) >= 20
+    for reply in complete:
         assert reply.body["coverage"] == 1.0, reply
-    for reply in other:
-        # No connection at all is a refusal too: the process had ended or its door was closed.
+    for reply in incomplete:
+        # No connection counts as a refusal: the process has ended or no longer listens.
         assert reply is None or reply.body["ran"] == "not_run", reply
 
 
-@when("all control hosts of the tier are frozen")
-def step_freeze_all(context):
+@when("all control hosts of the tier are suspended")
+def step_suspend_all(context):
     for program in context.tier.controls.values():
         program.send(signal.SIGSTOP)
 
 
-@then('soon each entry of the tier refuses queries with "{error}"')
+@then('eventually each entry of the tier refuses queries with "{error}"')
 def step_lease_expired(context, error):
     for name in context.tier.entries:
 
@@ -213,16 +213,16 @@
             reply = context.tier.query(name, "route")
             return reply is not None and reply.body.get("error") == error and reply
 
-        reply = until(refused, f"{name} refuses")
+        reply = until(refused, f"{name} refuses queries")
         assert reply.body["ran"] == "not_run" and reply.body["resend"] == "other_entry", reply
 
 
-@when("all frozen control hosts of the tier wake")
-def step_wake_all(context):
+@when("all suspended control hosts of the tier resume")
+def step_resume_all(context):
     for program in context.tier.controls.values():
         program.send(signal.SIGCONT)
 
 
-@then("soon each entry of the tier answers again")
-def step_again(context):
+@then("eventually each entry of the tier answers again")
+def step_answers_again(context):
     step_each_answers(context)
--- a/features/support/loop_thread.py
+++ b/features/support/loop_thread.py
@@ -1,4 +1,4 @@
-"""A trio loop in a thread of its own, for what steps share over a scenario."""
+"""A trio event loop in a separate thread, for tasks that outlive one step."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LoopThread:
-    """Runs a loop until closed; ``nursery`` holds its tasks."""
+    """Runs an event loop until closed; ``nursery`` holds its tasks."""
 
     def __init__(self):
         self._ready = threading.Event()
@@ -24,10 +24,10 @@
             await trio.sleep_forever()
 
     def call(self, function, *args):
-        """Run one coroutine function in the loop, from another thread; return its value."""
+        """Run an async function in the loop from another thread; return its result."""
         return trio.from_thread.run(function, *args, trio_token=self._token)
 
     def close(self):
-        """Cancel all tasks and wait for the end of the loop."""
+        """Cancel all tasks and wait until the loop has ended."""
         self._token.run_sync_soon(self.nursery.cancel_scope.cancel)
         self._thread.join()
--- a/features/support/tier.py
+++ b/features/support/tier.py
@@ -1,4 +1,4 @@
-"""The real programs on loopback: control hosts and entries as processes, and an upstream."""
+"""A tier on loopback: control hosts and entries as processes, and a stand-in upstream."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from alderhatch.standin.standin_upstream import StandinUpstream
 from features.support.loop_thread import LoopThread
 
-PATIENCE_S = 60
+WAIT_TIMEOUT_S = 60
 CHANGE_KEY = "change-key-of-the-tests-0123456789"
 READ_KEY = "read-key-of-the-tests-0123456789"
 SECRET = "the secret that the processes of the tests share"
@@ -28,17 +28,17 @@
 
 
 def own_loopback_address():
-    """An address in 127.0.0.0/8 of this test alone: its ports are free for nobody else to take.
+    """Return an address in 127.0.0.0/8 that only this test uses.
 
-    On the usual loopback address another test's connection could take a port in the moment
-    between its choice and the start of the process that is to listen on it.
+    On 127.0.0.1 a connection of another test could take a port after the port was chosen and before
+    the process that is to listen on it starts.
     """
     number = next(_numbers)
     return f"127.{1 + os.getpid() % 250}.{1 + os.getpid() // 250 % 250}.{1 + number % 250}"
 
 
 def free_ports(address, count):
-    """Different ports that the kernel chose; let go one by one, it could give one of them twice."""
+    """Return distinct ports chosen by the kernel; all are held until the last one is chosen."""
     sockets = [socket.socket() for _ in range(count)]
     for sock in sockets:
         sock.bind((address, 0))
@@ -48,15 +48,15 @@
     return ports
 
 
-def until(check, what):
-    """Wait for an event of the real programs, with patience enough for a busy machine."""
-    end = time.monotonic() + PATIENCE_S
-    while time.monotonic() < end:
+def until(check, event):
+    """Wait until a check returns a true value and return it; the timeout suits a busy machine."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
+    while time.monotonic() < deadline:
         value = check()
         if value:
             return value
         time.sleep(0.02)
-    raise AssertionError(f"did not come about within {PATIENCE_S} s: {what}")
+    raise AssertionError(f"did not happen within {WAIT_TIMEOUT_S} s: {event}")
 
 
 class Reply:
@@ -69,7 +69,7 @@
 
 
 def http(address, port, method, path, body=None, key=None, timeout=20):
-    """One exchange; None if nothing listens or the connection breaks."""
+    """Send a request and return the reply; None if the connection or the exchange fails."""
     conn = HTTPConnection(address, port, timeout=timeout)
     headers = {"Authorization": f"Bearer {key}"} if key else {}
     try:
@@ -83,7 +83,7 @@
 
 
 class UpstreamThread:
-    """A stand-in upstream with a loop of its own in a thread of the test."""
+    """A stand-in upstream that runs in its own event loop and thread."""
 
     def __init__(self, shards, servers, median_ms):
         shape = UpstreamShape("navigator", shards, servers, 4, 60, 0.0)
@@ -103,7 +103,7 @@
 
 
 class Program:
-    """One process of ours, started by the test and ended by its id."""
+    """One process that the test starts and ends."""
 
     def __init__(self, module, settings, log_path):
         self._command = [sys.executable, "-m", module, str(settings)]
@@ -111,7 +111,7 @@
         self.process = None
 
     def duplicate(self):
-        """The same program with the same settings once more, with a log of its own."""
+        """Return a second program with the same settings and a separate log."""
         module, settings = self._command[2:]
         return Program(module, settings, self._log_path.with_suffix(".twin.log"))
 
@@ -120,19 +120,19 @@
         with self._log_path.open("ab") as log:
             self.process = subprocess.Popen(self._command, stdout=log, stderr=log, env=env)
 
-    def send(self, number):
-        os.kill(self.process.pid, number)
+    def send(self, signal_number):
+        os.kill(self.process.pid, signal_number)
 
     def kill(self):
         self.process.kill()
         self.process.wait()
 
     def wait(self):
-        """Wait for its end; return the exit code."""
-        return self.process.wait(PATIENCE_S)
+        """Wait for the process to end; return the exit code."""
+        return self.process.wait(WAIT_TIMEOUT_S)
 
     def stop(self):
-        """Stop it as an operator's service manager does; return the exit code."""
+        """Stop the process by SIGTERM, as service managers do; return the exit code."""
         self.send(signal.SIGTERM)
         return self.wait()
 
@@ -152,7 +152,7 @@
 class Tier:
     """Control hosts, entries and one upstream.
 
-    Without control hosts, entries take the rules of the brazos example from a file.
+    Without control hosts, the entries read the rules of the brazos example from a file.
     """
 
     def __init__(self, controls, entries, shards=4, servers=2, median_ms=1.0):
@@ -161,50 +161,50 @@
         self.address = own_loopback_address()
         self.upstream = UpstreamThread(shards, servers, median_ms)
         ports = iter(free_ports(self.address, 2 * (controls + entries)))
-        self.control_ports = self._pairs("control", controls, ports)
-        self.entry_ports = self._pairs("entry", entries, ports)
+        self.control_ports = self._port_pairs("control", controls, ports)
+        self.entry_ports = self._port_pairs("entry", entries, ports)
         self._changes = itertools.count(1)
         shutil.copy("examples/brazos/rules.toml", self.folder / "rules.toml")
-        self._private("secret", SECRET)
-        self._private("keys", f"anna change {CHANGE_KEY}\nmonitor read {READ_KEY}\n")
-        self.change_key = str(self._private("change-key", CHANGE_KEY))
-        self.controls = {name: self._control(name) for name in self.control_ports}
-        self.entries = {name: self._entry(name) for name in self.entry_ports}
+        self._write_private("secret", SECRET)
+        self._write_private("keys", f"anna change {CHANGE_KEY}\nmonitor read {READ_KEY}\n")
+        self.change_key = str(self._write_private("change-key", CHANGE_KEY))
+        self.controls = {name: self._control_program(name) for name in self.control_ports}
+        self.entries = {name: self._entry_program(name) for name in self.entry_ports}
 
-    def _pairs(self, role, count, ports):
+    def _port_pairs(self, role, count, ports):
         names = [f"{role}-{number + 1}" for number in range(count)]
         return {name: (next(ports), next(ports)) for name in names}
 
-    def _private(self, name, text):
+    def _write_private(self, name, text):
         path = self.folder / name
         path.write_text(text + "\n")
         path.chmod(0o600)
         return path
 
-    def _control(self, name):
+    def _control_program(self, name):
         links, operators = self.control_ports[name]
         lines = [
-            *self._head(name, self.control_ports),
+            *self._identity_lines(name, self.control_ports),
             f'data_folder = "{name}-data"',
             'secret_file = "secret"',
             'keys_file = "keys"',
             "lease_ms = 2000",
             *self._endpoint("links", links),
             *self._endpoint("operators", operators),
-            *self._named("peers"),
+            *self._control_endpoints("peers"),
         ]
         return self._program("control", name, lines)
 
-    def _entry(self, name):
+    def _entry_program(self, name):
         callers, operators = self.entry_ports[name]
         lines = [
-            *self._head(name, self.entry_ports),
+            *self._identity_lines(name, self.entry_ports),
             'secret_file = "secret"' if self.control_ports else 'rules_file = "rules.toml"',
             "address_ttl_ms = 300",
             "drain_ms = 20000",
             *self._endpoint("callers", callers),
             *self._endpoint("operators", operators),
-            *self._named("controls"),
+            *self._control_endpoints("controls"),
             "[[upstreams]]",
             'name = "navigator"',
             "map_poll_ms = 100",
@@ -213,15 +213,15 @@
         ]
         return self._program("entry", name, lines)
 
-    def _head(self, name, names):
+    def _identity_lines(self, name, names):
         return [f'name = "{name}"', f'zone = "{ZONES[list(names).index(name) % len(ZONES)]}"']
 
     def _endpoint(self, table, port):
         lines = [f"[{table}]"] if table else []
         return [*lines, f'address = "{self.address}"', f"port = {port}"]
 
-    def _named(self, array):
-        """The links of all control hosts, as both programs want them."""
+    def _control_endpoints(self, array):
+        """Return the settings lines of the link endpoints of all control hosts."""
         lines = []
         for name, (links, _) in self.control_ports.items():
             lines += [f"[[{array}]]", f'name = "{name}"', *self._endpoint(None, links)]
@@ -246,12 +246,12 @@
 
     @property
     def operator_addresses(self):
-        """Where each process shows its dump."""
+        """Return the operator address of each process."""
         ports = self.control_ports | self.entry_ports
         return {name: f"{self.address}:{operators}" for name, (_, operators) in ports.items()}
 
     def start(self):
-        """Start everything and wait until there is a leader and every entry is ready."""
+        """Start all programs and wait until there is a leader and every entry is ready."""
         for program in self.programs.values():
             program.start()
         if self.controls:
@@ -270,7 +270,7 @@
         return http(self.address, self.control_ports[name][1], method, path, body, CHANGE_KEY)
 
     def leader(self, among=None):
-        """The name of the host that says it leads, once one of those asked does."""
+        """Wait until one of the control hosts reports that it leads; return its name."""
 
         def find():
             for name in among or self.controls:
@@ -285,27 +285,27 @@
             raise AssertionError(f"{exc}\n{self.logs()}") from exc
 
     def get_from_leader(self, path):
-        """What the leader answers; another one is asked if it just lost the lead."""
+        """Return the leader's answer; retry at the next leader if leadership was lost."""
 
-        def ask():
+        def fetch():
             reply = self.operator(self.leader(), "GET", path)
             return reply is not None and reply.status == 200 and reply.body
 
-        return until(ask, f"the leader's answer to {path}")
+        return until(fetch, f"the leader's answer to {path}")
 
     def revision(self, name):
         reply = self.operator(name, "GET", "/v1/rules")
         return reply.body["revision"] if reply is not None and reply.status == 200 else None
 
     def rules(self, name):
-        """What this very host has applied, whether it leads or not."""
+        """Return the revision and rule names that this host has applied, leader or not."""
         reply = self.operator(name, "GET", "/v1/rules?stale=true")
         if reply is None or reply.status != 200:
             return None
         return reply.body["revision"], [rule["name"] for rule in reply.body["rules"]]
 
     def add_rule(self, rule_name, among=None):
-        """Add a rule, resending it with its change id until it is answered; return the answer."""
+        """Add a rule, resent with its change ID until it is accepted; return the answer."""
         change_id = f"change-{next(self._changes)}"
         rule = {"name": rule_name, "when": {"kind": rule_name}, "then": {"deadline_ms": 5000}}
         body = None
@@ -362,7 +362,7 @@
         return http(self.address, self.entry_ports[entry][0], "POST", "/run", body)
 
     def addresses(self, entry):
-        """The ports of the entries that an entry names to callers."""
+        """Return the ports of the entries that an entry advertises to callers."""
         reply = http(self.address, self.entry_ports[entry][0], "GET", "/addresses")
         return reply and {item["port"] for item in reply.body["addresses"]}
 
