--- a/src/alderhatch/standin/demo.py
+++ b/src/alderhatch/standin/demo.py
@@ -51,7 +51,7 @@
 
 
 class WrongAnswer(NamedTuple):
-    """An answer that differs from the documents of the stand-in upstream."""
+    """A request with a wrong answer, or a booking that ran more than once."""
 
     request_id: str
     why: str
