--- a/features/cli.feature
+++ b/features/cli.feature
@@ -1,6 +1,6 @@
-Feature: The command line teaches, checks offline and ends with documented exit codes
+Feature: The command line has help texts, checks files offline and uses documented exit codes
 
-  Scenario: Every command and every option explains itself
+  Scenario: Every command and every option has a help text
     Then each command of alderhatchctl has a help text and each of its options too
 
   Scenario: The help shows every exit code with its meaning
@@ -11,7 +11,7 @@
   Scenario: The shell completes commands
     Then the completion of "alderhatchctl rules " offers "list, show, add, edit, move, withdraw, apply, diff, history"
 
-  Scenario Outline: A wrong command line tries nothing
+  Scenario Outline: An invalid command line is rejected before any connection
     When alderhatchctl is called with "<words>"
     Then the command ends with exit code 2
     And the command printed the error "<message>"
@@ -30,44 +30,44 @@
       | explain --header x                     | is not NAME=VALUE           |
 
   Scenario: A key that others can read is refused
-    # An operator copies the key file with the usual permissions. Everyone on that host could change
-    # the rules in the operator's name, and the history would show that name.
+    # A key file copied with default permissions would let every user of the host change the rules
+    # in the operator's name.
     When alderhatchctl is called with a key file that the group can read
     Then the command ends with exit code 2
     And the command printed the error "open to others"
 
-  Scenario: What needs no key asks for none
+  Scenario: A command that needs no key does not read the key file
     When alderhatchctl is called with "--key-file /nowhere check examples/brazos/rules.toml"
     Then the command ends with exit code 0
 
-  Scenario Outline: The example sets are sound as a whole
+  Scenario Outline: The example sets are valid and consistent
     When alderhatchctl checks every file of the example "<deployment>"
     Then the command ends with exit code 0
-    And the command printed "18 files, no mistakes"
+    And the command printed "18 files, no errors"
 
     Examples:
       | deployment     |
       | brazos         |
       | trafikkforbund |
 
-  Scenario: A check prints every mistake of every file with its line
-    Given a folder with an entry file and a rules file that have two mistakes each
+  Scenario: A check prints every error of every file with its line
+    Given a folder with an entry file and a rules file that have two errors each
     When alderhatchctl checks the files of that folder
     Then the command ends with exit code 3
-    And the command printed lines that start with these places
-      | place         | key                                |
+    And the command printed lines that start with these locations
+      | location      | key                                |
       | entry.toml:6  | drain_ms                           |
       | entry.toml:10 | callers.port                       |
       | rules.toml:4  | rule 1 (first): when.kinds         |
       | rules.toml:6  | rule 1 (first): then.coverage      |
 
-  Scenario: A check as JSON can be read by a script
-    Given a folder with an entry file and a rules file that have two mistakes each
+  Scenario: A check prints JSON for scripts
+    Given a folder with an entry file and a rules file that have two errors each
     When alderhatchctl checks the files of that folder as JSON
     Then the command ends with exit code 3
     And the command printed a JSON list of 4 faults with file, line, key, message and allowed
 
-  Scenario Outline: Files that are sound alone but don't fit together are told
+  Scenario Outline: Files that are valid alone but inconsistent are reported
     Given copies of the brazos example in which <change>
     When alderhatchctl checks the files of that folder
     Then the command ends with exit code 3
@@ -77,22 +77,22 @@
       | change                                  | message                                     |
       | two entries have the same name          | 'austin-hall-entry-1' is also in another    |
       | two entries have the same address       | '10.20.1.21:7400' is also in another file   |
-      | one entry knows another control host    | do not agree on the control hosts           |
-      | a rule is for an upstream nobody has    | no entry has an upstream 'navigater'        |
+      | one entry names another control host    | name different control hosts                |
+      | a rule is for an unknown upstream       | no entry has an upstream 'navigater'        |
 
-  Scenario: Which rule takes a request can be asked offline
+  Scenario: The rule that matches a request is explained offline
     When alderhatchctl is called with "explain --file examples/brazos/rules.toml --kind month-end --upstream linenlog"
     Then the command ends with exit code 0
     And the command printed "not stalled-robot: kind does not hold"
-    And the command printed "taken by rule 5, period-closing"
+    And the command printed "matched by rule 5, period-closing"
 
-  Scenario: A request that no rule takes gets the default rule
+  Scenario: The default rule matches a request that no other rule matches
     When alderhatchctl is called with "explain --file examples/brazos/rules.toml --kind x --upstream navigator"
     Then the command ends with exit code 0
-    And the command printed "taken by the default rule"
+    And the command printed "matched by the default rule"
     And the command printed "when: any request"
 
-  Scenario Outline: The difference between two lists of rules is the least that has to happen
+  Scenario Outline: The difference between two lists of rules is the smallest set of changes
     When the list of rules "<now>" is compared with "<declared>"
     Then the rule differences are "<differences>"
 
--- a/features/cli_changes.feature
+++ b/features/cli_changes.feature
@@ -1,47 +1,46 @@
-Feature: Changes from the command line are made once, whatever is lost on the way
+Feature: Changes from the command line are applied at most once, also if answers are lost
 
-  Scenario: A change shows its id and revision and prints what was accepted
+  Scenario: A change prints its ID, its revision and the accepted result
     Given 3 scripted control hosts of which number 1 is the leader
     When the operator withdraws rule "linen"
     Then the command ends with exit code 0
     And the command printed "revision: 8"
-    And the leader was sent exactly one change with the id that the command showed, on revision 7
+    And the leader was sent exactly one change with the ID that the command printed, on revision 7
 
-  Scenario: A host that is not the leader says who is
+  Scenario: A host that is not the leader names the leader
     Given 3 scripted control hosts of which number 3 is the leader
     When the operator withdraws rule "linen"
     Then the command ends with exit code 0
     And the scripted control hosts applied 1 change
 
   Scenario: An answer is lost after the change was accepted
-    # The leader has the change on disk and dies, or the connection breaks, before its answer is
-    # out. An operator who is told "failed" makes the change again, under another id, a second time.
+    # The leader fails or the connection breaks after the change is on disk and before the answer is
+    # sent. If the command reported a failure, the operator would repeat the change with another ID.
     Given 3 scripted control hosts of which number 1 is the leader
     And the scripted leader loses its next answer after applying the change
     When the operator withdraws rule "linen"
     Then the command ends with exit code 0
     And the scripted control hosts applied 1 change
-    And the scripted control hosts saw the same change id 2 times
+    And the scripted control hosts received the same change ID 2 times
 
-  Scenario: No answer to a change comes at all
-    # Every answer is lost until the time is over. The change may be accepted; a command that says
-    # "not done" would be wrong, and one that says "done" too.
+  Scenario: Every answer to a change is lost
+    # The change may be accepted or not, so the command must report neither success nor failure.
     Given 3 scripted control hosts of which number 1 is the leader
     And the scripted leader loses all its answers to changes
     When the operator withdraws rule "linen" within 1 second
     Then the command ends with exit code 7
-    And the command printed the error "It may have run. Send it again with the same id"
+    And the command printed the error "It may have run. Resend it with the same ID"
     And the command printed the error "on revision 7"
 
-  Scenario: A resend with the shown id gets the first answer
+  Scenario: A resend with the printed ID gets the first answer
     Given 3 scripted control hosts of which number 1 is the leader
-    When the operator withdraws rule "linen" with change id "c-1" on revision 7
-    And the operator withdraws rule "linen" with change id "c-1" on revision 7
+    When the operator withdraws rule "linen" with change ID "c-1" on revision 7
+    And the operator withdraws rule "linen" with change ID "c-1" on revision 7
     Then the command ends with exit code 0
     And the command printed "repeated: yes"
     And the scripted control hosts applied 1 change
 
-  Scenario: Nobody can be reached
+  Scenario: No control host can be reached
     Given control hosts that are all down
     When the operator withdraws rule "linen" within 1 second
     Then the command ends with exit code 6
@@ -52,15 +51,15 @@
     When the operator withdraws rule "linen" within 1 second
     Then the command ends with exit code 6
 
-  Scenario: Another operator was first
-    # Two operators look at revision 7 and both change it. The second must learn that it lost and to
-    # whom, or it would take the other one's change away without knowing.
+  Scenario: Another operator changed the revision first
+    # Two operators change the same revision. The second one must see the conflict and who made the
+    # first change; otherwise it would overwrite that change unknowingly.
     Given 3 scripted control hosts of which number 1 is the leader
-    When the operator withdraws rule "linen" with change id "c-1" on revision 6
+    When the operator withdraws rule "linen" with change ID "c-1" on revision 6
     Then the command ends with exit code 5
     And the command printed the error "revision 7 by bjorn: moved rule linen"
 
-  Scenario: A change that breaks a check is refused with every fault
+  Scenario: An invalid change is refused with every fault
     Given 3 scripted control hosts of which number 1 is the leader
     When the operator withdraws rule "no-such-rule"
     Then the command ends with exit code 4
@@ -73,7 +72,7 @@
     Then the command ends with exit code 9
     And the command printed the error "not yet in force at: entry-9"
 
-  Scenario: The key is in nothing that is printed
+  Scenario: The key is never printed
     Given 3 scripted control hosts without a leader
     When the operator withdraws rule "linen" within 1 second
-    Then the command printed nothing of the key
+    Then the command did not print the key
--- a/features/cli_operator.feature
+++ b/features/cli_operator.feature
@@ -1,4 +1,4 @@
-Feature: Every operator command against a real control server
+Feature: Every operator command against a control server
 
   Background:
     Given a control server with the entries "entry-1" in waco-hall and "entry-2" in temple-hall
@@ -14,9 +14,9 @@
     And the command printed a row with "control-1, waco-hall, voter"
     When the operator runs "dump control-1"
     Then the command printed JSON whose "status.role" is "leader"
-    And the command printed nothing secret
+    And the command printed no secret
 
-  Scenario: The same declaration twice changes nothing the second time
+  Scenario: Applying a declaration again changes nothing
     When the operator runs "rules apply examples/brazos/rules.toml"
     Then the command ends with exit code 0
     And the command printed "nothing to change at revision 1"
@@ -67,8 +67,8 @@
     Then the command printed "nothing to change at revision 2"
 
   Scenario: Two operators change the same revision
-    # Both looked at revision 1. Exactly one may win; the other one is told who did what, instead of
-    # taking the first one's change away without knowing.
+    # Both changes build on revision 1. Exactly one may be accepted; the other operator must see who
+    # made it, or would overwrite it unknowingly.
     When the operator runs "rules withdraw linen --expect-revision 1 --change-id first"
     And the operator runs "rules withdraw orders --expect-revision 1 --change-id second"
     Then the command ends with exit code 5
@@ -77,13 +77,13 @@
     Then the command ends with exit code 0
     And the command printed "repeated: yes"
 
-  Scenario: A rule can be explained as it is in force
+  Scenario: The rule in force for a request is explained
     When the operator runs "explain --kind route --upstream navigator --header x-robot-firmware=1.7"
-    Then the command printed "taken by rule 3, stalled-robot"
+    Then the command printed "matched by rule 3, stalled-robot"
     When the operator runs "explain --kind order --no-idempotent --header X-Robot-Firmware=1.7"
-    Then the command printed "taken by rule 1, old-firmware"
+    Then the command printed "matched by rule 1, old-firmware"
 
-  Scenario: A planned stop is planned and taken back
+  Scenario: A stop is planned and cancelled
     When the operator runs "stop plan entry-1 --forced"
     Then the command ends with exit code 0
     When the operator runs "hosts"
@@ -93,7 +93,7 @@
     When the operator runs "hosts"
     Then the command printed a row with "entry-1, serving"
 
-  Scenario: A stop that takes a zone's last entry is refused unless forced
+  Scenario: A stop of a zone's last entry is refused unless forced
     When the operator runs "stop plan entry-1"
     Then the command ends with exit code 4
     And the command printed the error "stop_refused"
@@ -111,12 +111,12 @@
     When the operator runs "hosts"
     Then the command printed a row with "entry-2, departing"
 
-  Scenario: A repair that would take the quorum is refused
+  Scenario: A repair that would lose the quorum is refused
     When the operator runs "repair control-1 --replacement control-9 --zone waco-hall --links 127.0.0.1:7999"
     Then the command ends with exit code 4
     And the command printed the error "the quorum is 1"
 
-  Scenario: Quarantines are listed, and lifting one that is not there is refused
+  Scenario: Quarantines are listed, and lifting an unknown one is refused
     When the operator runs "quarantine list"
     Then the command ends with exit code 0
     And the command printed "FINGERPRINT"
@@ -124,11 +124,11 @@
     Then the command ends with exit code 4
     And the command printed the error "not_found"
 
-  Scenario: A key that may only read changes nothing
+  Scenario: A read-only key cannot make changes
     When the operator with the read key runs "rules withdraw linen"
     Then the command ends with exit code 4
     And the command printed the error "forbidden"
     When the operator with an unknown key runs "rules list"
     Then the command ends with exit code 4
     And the command printed the error "unauthorized"
-    And the command printed nothing secret
+    And the command printed no secret
--- a/features/steps/cli_caller_steps.py
+++ b/features/steps/cli_caller_steps.py
@@ -14,30 +14,30 @@
     "rule": "orders",
     "revision": 1,
 }
-SOON_MS = 20
+RETRY_AFTER_MS = 20
 
 
-def _answer(word):
-    if word == "done":
+def _answer_for(outcome):
+    if outcome == "done":
         return 200, DONE
-    kind = ErrorKind(word)
+    kind = ErrorKind(outcome)
     answer = ANSWERS[kind]
-    body = {"error": kind, "message": word, "ran": answer.ran, "resend": answer.resend}
-    return answer.status, body | {"retry_after_ms": SOON_MS}
+    body = {"error": kind, "message": outcome, "ran": answer.ran, "resend": answer.resend}
+    return answer.status, body | {"retry_after_ms": RETRY_AFTER_MS}
 
 
-@given('an entry that answers a booking with "{words}"')
-def step_entry(context, words):
-    context.entry = ScriptedEntry([_answer(word) for word in words.split(", ")])
+@given('an entry that answers bookings with "{outcomes}"')
+def step_entry(context, outcomes):
+    context.entry = ScriptedEntry([_answer_for(outcome) for outcome in outcomes.split(", ")])
     context.add_cleanup(context.entry.stop)
 
 
-@when("a booking is sent to it with {seconds:g} s to go")
+@when("a booking is sent to it with a timeout of {seconds:g} s")
 def step_book(context, seconds):
-    call(context, "--entry", context.entry.place, "--timeout", str(seconds), *BOOK)
+    call(context, "--entry", context.entry.endpoint, "--timeout", str(seconds), *BOOK)
 
 
-@then("the entry got the same request id {count:d} times")
+@then("the entry received the same request ID {count:d} times")
 def step_same_id(context, count):
     ids = context.entry.request_ids
     assert len(ids) == count, ids
--- a/features/steps/cli_changes_steps.py
+++ b/features/steps/cli_changes_steps.py
@@ -12,7 +12,7 @@
     context.controls = ScriptedControls(leader)
     context.controls.start(count)
     context.add_cleanup(context.controls.stop)
-    context.cli_places = context.controls.places
+    context.cli_endpoints = context.controls.endpoints
 
 
 @given("{count:d} scripted control hosts without a leader")
@@ -22,23 +22,23 @@
 
 @given("control hosts that are all down")
 def step_all_down(context):
-    # Bound but not listening: connections are refused, and no other test that runs at the same
-    # time is given these ports by the kernel.
+    # The sockets are bound but do not listen: connections are refused, and the kernel gives these
+    # ports to no other test that runs at the same time.
     sockets = [socket.socket() for _ in range(2)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
         context.add_cleanup(sock.close)
-    context.cli_places = ",".join(f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets)
+    context.cli_endpoints = ",".join(f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets)
 
 
 @given("the scripted leader loses its next answer after applying the change")
-def step_lose_one(context):
-    context.controls.lose = 1
+def step_drop_one_answer(context):
+    context.controls.answers_to_drop = 1
 
 
 @given("the scripted leader loses all its answers to changes")
-def step_lose_all(context):
-    context.controls.lose = 1_000_000
+def step_drop_all_answers(context):
+    context.controls.answers_to_drop = 1_000_000
 
 
 @given('the scripted entry "{name}" confirms nothing')
@@ -46,10 +46,10 @@
     context.controls.unconfirmed = [name]
 
 
-def _withdraw(context, rule, *more, timeout="10"):
-    words = ["--control", context.cli_places, "--key-file", key_file(context)]
-    words += ["--timeout", timeout, "rules", "withdraw", rule, *more]
-    call(context, *words)
+def _withdraw(context, rule, *options, timeout="10"):
+    arguments = ["--control", context.cli_endpoints, "--key-file", key_file(context)]
+    arguments += ["--timeout", timeout, "rules", "withdraw", rule, *options]
+    call(context, *arguments)
 
 
 @when('the operator withdraws rule "{rule}"')
@@ -62,7 +62,7 @@
     _withdraw(context, rule, timeout="1")
 
 
-@when('the operator withdraws rule "{rule}" with change id "{change_id}" on revision {revision:d}')
+@when('the operator withdraws rule "{rule}" with change ID "{change_id}" on revision {revision:d}')
 def step_withdraw_id(context, rule, change_id, revision):
     _withdraw(context, rule, "--change-id", change_id, "--expect-revision", str(revision))
 
@@ -72,11 +72,11 @@
     _withdraw(context, rule, "--wait", "in-force")
 
 
-@then("the leader was sent exactly one change with the id that the command showed, on revision 7")
-def step_shown_id(context):
-    assert len(context.controls.seen_ids) == 1
-    shown = f"change id {context.controls.seen_ids[0]}, on revision 7"
-    assert shown in context.cli.stderr, context.cli.stderr
+@then("the leader was sent exactly one change with the ID that the command printed, on revision 7")
+def step_printed_id(context):
+    assert len(context.controls.received_ids) == 1
+    printed = f"change ID {context.controls.received_ids[0]}, on revision 7"
+    assert printed in context.cli.stderr, context.cli.stderr
     assert context.controls.bodies[0]["expected_revision"] == 7
 
 
@@ -85,12 +85,12 @@
     assert context.controls.applied == count
 
 
-@then("the scripted control hosts saw the same change id {count:d} times")
+@then("the scripted control hosts received the same change ID {count:d} times")
 def step_same_id(context, count):
-    seen = context.controls.seen_ids
-    assert len(seen) == count and len(set(seen)) == 1, seen
+    received = context.controls.received_ids
+    assert len(received) == count and len(set(received)) == 1, received
 
 
-@then("the command printed nothing of the key")
+@then("the command did not print the key")
 def step_no_key(context):
     assert KEY not in context.cli.output and context.cli.output
--- a/features/steps/cli_operator_steps.py
+++ b/features/steps/cli_operator_steps.py
@@ -20,19 +20,19 @@
     context.add_cleanup(context.control.stop)
 
 
-def _operate(context, words, key=CHANGE_KEY):
+def _run_as_operator(context, words, key=CHANGE_KEY):
     path = context.cli_folder / "key"
     path.write_text(key)
     path.chmod(0o600)
-    place = f"127.0.0.1:{context.control.operator_port}"
+    endpoint = f"127.0.0.1:{context.control.operator_port}"
     files = {file.name: str(file) for file in context.cli_folder.glob("*.toml")}
     parts = [files.get(word, word) for word in shlex.split(words)]
-    call(context, "--control", place, "--key-file", str(path), *parts)
+    call(context, "--control", endpoint, "--key-file", str(path), *parts)
 
 
 @given("the operator has applied the brazos rules")
 def step_applied_rules(context):
-    _operate(context, "rules apply examples/brazos/rules.toml")
+    _run_as_operator(context, "rules apply examples/brazos/rules.toml")
     assert context.cli.exit_code == 0, context.cli.output
 
 
@@ -49,33 +49,33 @@
 
 
 @when('the operator runs "{words}"')
-def step_operate(context, words):
-    _operate(context, words)
+def step_run_as_operator(context, words):
+    _run_as_operator(context, words)
 
 
 @when('the operator with the read key runs "{words}"')
-def step_operate_read(context, words):
-    _operate(context, words, READ_KEY)
+def step_run_as_operator_read(context, words):
+    _run_as_operator(context, words, READ_KEY)
 
 
 @when('the operator with an unknown key runs "{words}"')
-def step_operate_unknown(context, words):
-    _operate(context, words, UNKNOWN_KEY)
+def step_run_as_operator_unknown(context, words):
+    _run_as_operator(context, words, UNKNOWN_KEY)
 
 
 @then('the command printed a row with "{cells}"')
 def step_row(context, cells):
-    wanted = cells.split(", ")
+    expected = cells.split(", ")
     for line in context.cli.stdout.splitlines():
         found = [cell.strip() for cell in line.split("  ") if cell.strip()]
-        if _in_order(wanted, found):
+        if _in_order(expected, found):
             return
     raise AssertionError(context.cli.output)
 
 
-def _in_order(wanted, found):
-    rest = iter(found)
-    return all(cell in rest for cell in wanted)
+def _in_order(expected, found):
+    remaining = iter(found)
+    return all(cell in remaining for cell in expected)
 
 
 @then("the command printed {count:d} lines")
@@ -91,7 +91,7 @@
     assert found == value, found
 
 
-@then("the command printed nothing secret")
-def step_nothing_secret(context):
+@then("the command printed no secret")
+def step_no_secret(context):
     for secret in (CHANGE_KEY, READ_KEY, UNKNOWN_KEY, SECRET.decode()):
         assert secret not in context.cli.output
--- a/features/steps/cli_programs_steps.py
+++ b/features/steps/cli_programs_steps.py
@@ -11,23 +11,23 @@
 from features.support.cli_support import call, new_folder
 from features.support.tier import Tier
 
-TWO_MISTAKES = {
+INVALID_SETTINGS = {
     "entry": ('name = "Entry"\nzone = "waco-hall"\ndrain_ms = 0\n', ":1: name: ", ":3: drain_ms: "),
     "control": ('name = "a"\nzone = "Waco"\nlease_ms = 1\n', ":2: zone: ", ":3: lease_ms: "),
 }
 
 
-def _command(program, *words):
-    return [sys.executable, "-m", f"alderhatch.cli.{program}", *words]
+def _command(program, *arguments):
+    return [sys.executable, "-m", f"alderhatch.cli.{program}", *arguments]
 
 
 def _env():
     return os.environ | {"PYTHONPATH": "src"}
 
 
-def _run(context, program, *words):
+def _run(context, program, *arguments):
     context.program = subprocess.run(
-        _command(program, *words), env=_env(), capture_output=True, text=True, timeout=60
+        _command(program, *arguments), env=_env(), capture_output=True, text=True, timeout=60
     )
 
 
@@ -39,10 +39,10 @@
     context.tier.start()
 
 
-@when("a caller asks the tier for towels")
-def step_ask(context):
-    words = ["--entry", context.tier.entry_places, "query", '{"topic": "towels"}']
-    call(context, *words, "--upstream", "navigator", "--kind", "order-status")
+@when("a caller queries the tier for towels")
+def step_query(context):
+    arguments = ["--entry", context.tier.entry_places, "query", '{"topic": "towels"}']
+    call(context, *arguments, "--upstream", "navigator", "--kind", "order-status")
 
 
 @then('the program "{name}" ends with exit code {code:d} after SIGTERM')
@@ -61,16 +61,16 @@
     assert set(events.split(", ")) <= set(found), found
 
 
-@when('the program "{program}" is started with a file of two mistakes')
-def step_two_mistakes(context, program):
+@when('the program "{program}" is started with a settings file with two errors')
+def step_invalid_settings(context, program):
     path = new_folder(context) / "settings.toml"
-    text, *context.mistakes = TWO_MISTAKES[program]
+    text, *context.expected_errors = INVALID_SETTINGS[program]
     path.write_text(text)
     _run(context, program, str(path))
 
 
-@when("an entry is started alone with a file of rules of two mistakes")
-def step_bad_rules_file(context):
+@when("an entry is started alone with a rules file with two errors")
+def step_invalid_rules_file(context):
     folder = new_folder(context)
     context.tier = Tier(0, 1)
     context.add_cleanup(context.tier.close)
@@ -78,7 +78,10 @@
     settings = (context.tier.folder / "entry-1.toml").read_text()
     (folder / "entry.toml").write_text(settings)
     (folder / "rules.toml").write_text('[[rule]]\nname = "A"\nthen = { coverage = "all" }\n')
-    context.mistakes = ("rules.toml:2: rule 1 (A): name", "rules.toml:3: rule 1 (A): then.coverage")
+    context.expected_errors = (
+        "rules.toml:2: rule 1 (A): name",
+        "rules.toml:3: rule 1 (A): then.coverage",
+    )
     _run(context, "entry", str(folder / "entry.toml"))
 
 
@@ -87,10 +90,10 @@
     assert context.program.returncode == code, context.program
 
 
-@then("the program printed the two mistakes with their lines")
-def step_mistakes(context):
-    for mistake in context.mistakes:
-        assert mistake in context.program.stderr, context.program.stderr
+@then("the program printed both errors with their lines")
+def step_printed_errors(context):
+    for error in context.expected_errors:
+        assert error in context.program.stderr, context.program.stderr
     assert "Traceback" not in context.program.stderr
 
 
@@ -112,19 +115,22 @@
     _run(context, "entry", "--check", str(context.tier.folder / f"{name}.toml"))
 
 
-@when("the stand-in upstream is started with a fault script of two mistakes")
-def step_bad_faults(context):
+@when("the stand-in upstream is started with a fault script with two errors")
+def step_invalid_fault_script(context):
     path = new_folder(context) / "faults.toml"
     path.write_text('[[fault]]\nservers = "n"\nafter_ms = -1\n[[fault]]\nstragle_ms = 3\n')
-    context.mistakes = (":3: fault[1].after_ms: ", ":5: fault[2].stragle_ms: unknown key; did you")
+    context.expected_errors = (
+        ":3: fault[1].after_ms: ",
+        ":5: fault[2].stragle_ms: unknown key; did you",
+    )
     _run(context, "upstream", "navigator", "--faults", str(path))
 
 
 @when("the stand-in upstream is started with {shards:d} shards of {servers:d} servers")
 def step_upstream(context, shards, servers):
-    words = ["spotbook", "--shards", str(shards), "--servers", str(servers)]
+    arguments = ["spotbook", "--shards", str(shards), "--servers", str(servers)]
     context.upstream = subprocess.Popen(
-        _command("upstream", *words), env=_env(), stdout=subprocess.PIPE, text=True
+        _command("upstream", *arguments), env=_env(), stdout=subprocess.PIPE, text=True
     )
     context.add_cleanup(context.upstream.stdout.close)
     context.add_cleanup(context.upstream.kill)
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -64,7 +64,7 @@
 
 
 @when("alderhatchctl is called with a key file that the group can read")
-def step_open_key(context):
+def step_group_readable_key(context):
     path = key_file(context, 0o640)
     call(context, "--control", "127.0.0.1:1", "--key-file", path, "rules", "list")
 
@@ -112,7 +112,7 @@
     call(context, "check", *map(str, files))
 
 
-@given("a folder with an entry file and a rules file that have two mistakes each")
+@given("a folder with an entry file and a rules file that have two errors each")
 def step_bad_folder(context):
     context.cli_folder = new_folder(context)
     (context.cli_folder / "entry.toml").write_text(BAD_ENTRY)
@@ -128,8 +128,8 @@
     old, new, path = {
         "two entries have the same name": ("entry-2", "entry-1", second),
         "two entries have the same address": ("10.20.1.22", "10.20.1.21", second),
-        "one entry knows another control host": ('"control-5"', '"control-6"', second),
-        "a rule is for an upstream nobody has": (
+        "one entry names another control host": ('"control-5"', '"control-6"', second),
+        "a rule is for an unknown upstream": (
             'upstream = "navigator"',
             'upstream = "navigater"',
             folder / "rules.toml",
@@ -155,12 +155,12 @@
     _check_folder(context, "--output", "json")
 
 
-@then("the command printed lines that start with these places")
-def step_places(context):
+@then("the command printed lines that start with these locations")
+def step_locations(context):
     lines = context.cli.stdout.splitlines()
     assert len(lines) == len(context.table.rows), lines
     for line, row in zip(lines, context.table, strict=True):
-        assert line.startswith(f"{context.cli_folder}/{row['place']}: {row['key']}: "), line
+        assert line.startswith(f"{context.cli_folder}/{row['location']}: {row['key']}: "), line
 
 
 @then(
@@ -174,7 +174,7 @@
         assert all(fault.values()), fault
 
 
-def _rules_of(words):
+def _parse_rules(words):
     rules = []
     for word in words.split():
         kind = ["edited"] if word.endswith("*") else []
@@ -184,12 +184,12 @@
 
 @when('the list of rules "{now}" is compared with "{declared}"')
 def step_compare(context, now, declared):
-    context.differences = compare_rules(_rules_of(now), _rules_of(declared))
+    context.differences = compare_rules(_parse_rules(now), _parse_rules(declared))
 
 
 @then('the rule differences are "{differences}"')
 def step_differences(context, differences):
-    found = [f"{one.change} {one.what} {one.field}".strip() for one in context.differences]
+    found = [f"{item.change} {item.what} {item.field}".strip() for item in context.differences]
     assert found == differences.split(", "), found
 
 
--- a/features/steps/cli_tier_steps.py
+++ b/features/steps/cli_tier_steps.py
@@ -14,81 +14,81 @@
 BOOK = ("--upstream", "navigator", "--kind", "dispatch", "--output", "json")
 
 
-def _operate(context, *words, entries=None):
+def _run_as_operator(context, *arguments, entries=None):
     tier = context.tier
-    places = ("--control", tier.control_places, "--entry", entries or tier.entry_places)
-    call(context, *places, "--key-file", tier.change_key, *words)
+    endpoints = ("--control", tier.control_places, "--entry", entries or tier.entry_places)
+    call(context, *endpoints, "--key-file", tier.change_key, *arguments)
 
 
 @when('the tier\'s operator runs "{words}"')
-def step_operate(context, words):
-    _operate(context, *shlex.split(words))
+def step_run_as_operator(context, words):
+    _run_as_operator(context, *shlex.split(words))
 
 
-@when('the tier\'s operator books a {thing} with a new request id at "{entry}"')
+@when('the tier\'s operator books a {thing} with a new request ID at "{entry}"')
 def step_book_new(context, thing, entry):
-    # The ledger refuses an id that says it is over an hour old, so a fixed one fails from then on.
+    # The ledger refuses IDs whose creation time is over an hour old, so a fixed ID would fail.
     context.request_id = new_request_id(WallClock().now())
     step_book(context, thing, context.request_id, entry)
 
 
-@when('the tier\'s operator books a {thing} with the same request id at "{entry}"')
+@when('the tier\'s operator books a {thing} with the same request ID at "{entry}"')
 def step_book_again(context, thing, entry):
     step_book(context, thing, context.request_id, entry)
 
 
-@when('the tier\'s operator books a {thing} with request id "{request_id}" at "{entry}"')
+@when('the tier\'s operator books a {thing} with request ID "{request_id}" at "{entry}"')
 def step_book(context, thing, request_id, entry):
-    place = f"{context.tier.address}:{context.tier.entry_ports[entry][0]}"
+    endpoint = f"{context.tier.address}:{context.tier.entry_ports[entry][0]}"
     body = json.dumps({"item": thing})
-    _operate(context, "book", body, *BOOK, "--request-id", request_id, entries=place)
+    _run_as_operator(context, "book", body, *BOOK, "--request-id", request_id, entries=endpoint)
     context.bookings = [*getattr(context, "bookings", []), context.cli.stdout]
 
 
-@then("both bookings got the same outcome")
+@then("both bookings have the same outcome")
 def step_same_outcome(context):
     first, second = (json.loads(text) for text in context.bookings[-2:])
     assert first == second, (first, second)
     assert first["rows"], first
 
 
-@then("every process of the tier shows its dump and its metrics")
+@then("every process of the tier serves its dump and its metrics")
 def step_dumps(context):
-    context.shown = []
-    for name, place in context.tier.dump_places.items():
-        _operate(context, "dump", place)
+    context.pages = []
+    for name, endpoint in context.tier.dump_places.items():
+        _run_as_operator(context, "dump", endpoint)
         assert context.cli.exit_code == 0, context.cli.output
         assert f'"{name}"' in context.cli.stdout, context.cli.stdout[:500]
-        with urlopen(f"http://{place}/metrics", timeout=10) as reply:
+        with urlopen(f"http://{endpoint}/metrics", timeout=10) as reply:
             page = reply.read().decode()
         assert f'alderhatch_process_cpu_seconds_total{{process="{name}"}}' in page, page[:500]
-        context.shown += [context.cli.stdout, page]
-    assert any("alderhatch_control_revision" in text for text in context.shown)
-    assert any("alderhatch_entry_requests_total" in text for text in context.shown)
-    assert any('alderhatch_entry_revision{process="entry-2"} 1' in text for text in context.shown)
-    assert any("alderhatch_entry_lease_left_seconds" in text for text in context.shown)
+        context.pages += [context.cli.stdout, page]
+    assert any("alderhatch_control_revision" in text for text in context.pages)
+    assert any("alderhatch_entry_requests_total" in text for text in context.pages)
+    assert any('alderhatch_entry_revision{process="entry-2"} 1' in text for text in context.pages)
+    assert any("alderhatch_entry_lease_left_seconds" in text for text in context.pages)
 
 
 @then("no secret is in any log, dump or metrics page of the tier")
 def step_no_secret(context):
     tier = context.tier
-    texts = [*context.shown, *(program.log() for program in tier.programs.values())]
+    texts = [*context.pages, *(program.log() for program in tier.programs.values())]
     assert all(program.log() for program in tier.programs.values())
     for secret in (SECRET, CHANGE_KEY, READ_KEY):
         assert not any(secret in text for text in texts)
-    assert not any("tray" in text for text in texts), "a request's body is shown"
+    assert not any("tray" in text for text in texts), "a request body is exposed"
 
 
-@when("the control host that leads is killed")
+@when("the leading control host is killed")
 def step_kill_leader(context):
-    _operate(context, "status", "--output", "json")
+    _run_as_operator(context, "status", "--output", "json")
     views = json.loads(context.cli.stdout)
     leader = next(view["name"] for view in views if view["role"] == "leader")
     context.tier.controls[leader].kill()
 
 
-@when("every control host is killed and started again")
-def step_restart_all(context):
+@when("every control host is killed and restarted")
+def step_restart_controls(context):
     for program in context.tier.controls.values():
         if program.alive:
             program.kill()
@@ -96,7 +96,7 @@
     context.tier.leader()
 
 
-@then('the program "{name}" ends by itself with exit code {code:d} and cut off nothing')
+@then('the program "{name}" exits by itself with exit code {code:d} and without aborted requests')
 def step_ends(context, name, code):
     program = context.tier.programs[name]
     assert program.wait() == code
@@ -105,7 +105,7 @@
     assert last["fields"]["cut_off"] == 0, last
 
 
-@then('the entry "{name}" no longer names "{gone}" to callers')
-def step_not_named(context, name, gone):
-    port = context.tier.entry_ports[gone][0]
-    until(lambda: port not in context.tier.addresses(name), f"{gone} is out of the addresses")
+@then('the entry "{name}" no longer advertises "{stopped}" to callers')
+def step_not_advertised(context, name, stopped):
+    port = context.tier.entry_ports[stopped][0]
+    until(lambda: port not in context.tier.addresses(name), f"{stopped} is not advertised")
--- a/features/support/cli_support.py
+++ b/features/support/cli_support.py
@@ -1,4 +1,4 @@
-"""What the steps of the command line share."""
+"""Helpers and scripted servers for the steps of the command line."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 KEY = "operators-key-for-the-tests"
 
 
-def call(context, *words, **env):
-    """Run alderhatchctl within this process."""
+def call(context, *arguments, **env):
+    """Run alderhatchctl in this process."""
     clean = {"ALDERHATCH_CONTROLS": None, "ALDERHATCH_ENTRIES": None, "ALDERHATCH_KEY_FILE": None}
-    context.cli = CliRunner().invoke(app, list(words), env={"COLUMNS": "200", **clean, **env})
+    context.cli = CliRunner().invoke(app, list(arguments), env={"COLUMNS": "200", **clean, **env})
     if context.cli.exception and not isinstance(context.cli.exception, SystemExit):
         raise context.cli.exception
 
@@ -45,17 +45,17 @@
 
 
 class ScriptedControls:
-    """Control hosts that follow the page of the operator API as far as these tests need it."""
+    """Control hosts that implement the part of the operator API that these tests use."""
 
     def __init__(self, leader):
         self.leader = leader
         self.revision = 7
         self.rules = ["linen"]
         self.answers = {}
-        self.seen_ids = []
+        self.received_ids = []
         self.bodies = []
         self.applied = 0
-        self.lose = 0
+        self.answers_to_drop = 0
         self.unconfirmed = []
         self.servers = []
 
@@ -71,7 +71,7 @@
             server.server_close()
 
     @property
-    def places(self):
+    def endpoints(self):
         return ",".join(f"127.0.0.1:{server.server_port}" for server in self.servers)
 
     def answer(self, number, method, path, body):
@@ -89,7 +89,7 @@
         return {"error": "no_leader", "message": "not the leader", "leader": leader}
 
     def _change(self, path, body):
-        self.seen_ids.append(body["change_id"])
+        self.received_ids.append(body["change_id"])
         self.bodies.append(body)
         if body["change_id"] in self.answers:
             return 200, {**self.answers[body["change_id"]], "repeated": True}
@@ -118,8 +118,12 @@
                 length = int(self.headers.get("Content-Length") or 0)
                 body = json.loads(self.rfile.read(length) or b"{}")
                 status, answer = controls.answer(number, self.command, self.path, body)
-                if self.command == "POST" and number == controls.leader and controls.lose > 0:
-                    controls.lose -= 1
+                if (
+                    self.command == "POST"
+                    and number == controls.leader
+                    and controls.answers_to_drop > 0
+                ):
+                    controls.answers_to_drop -= 1
                     self.close_connection = True
                     return
                 send_json(self, status, answer)
@@ -133,7 +137,7 @@
 
 
 class ScriptedEntry:
-    """An entry that gives the answers of a script to bookings, the last one for ever."""
+    """An entry that answers bookings from a list and then repeats the last answer."""
 
     def __init__(self, answers):
         self.answers = answers
@@ -142,7 +146,7 @@
         threading.Thread(target=self._server.serve_forever, args=(0.02,), daemon=True).start()
 
     @property
-    def place(self):
+    def endpoint(self):
         return f"127.0.0.1:{self._server.server_port}"
 
     def stop(self):
--- a/src/alderhatch/cli/control.py
+++ b/src/alderhatch/cli/control.py
@@ -1,4 +1,4 @@
-"""``alderhatch-control``: rules, host plans, leases and run ledger on a majority of disks."""
+"""``alderhatch-control``: stores rules, host plans, leases and the run ledger on a majority."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     LogLevelOption,
     SettingsArgument,
     exit_code_help,
-    run_by_settings,
+    run_with_settings,
 )
 
 PROGRAM = "alderhatch-control"
@@ -20,11 +20,12 @@
 app = typer.Typer(name=PROGRAM, rich_markup_mode=None)
 
 
-@app.command(help=f"""Run one control host by the settings in FILE.
+@app.command(help=f"""Run one control host with the settings in FILE.
 
-    It logs JSON lines on standard error. SIGTERM or SIGINT ends it; a leader hands over first.
+    It logs JSON lines on standard error. SIGTERM or SIGINT stops it; a leader transfers
+    leadership first.
 
-    Mistakes in FILE are printed with their lines, and nothing is started.
+    Errors in FILE are printed with their line numbers, and nothing is started.
 
     {exit_code_help()}
     """)
@@ -35,7 +36,7 @@
 ) -> None:
     """Run one control host."""
     raise typer.Exit(
-        run_by_settings(PROGRAM, load_control, settings, check, log_level, run_control)
+        run_with_settings(PROGRAM, load_control, settings, check, log_level, run_control)
     )
 
 
--- a/src/alderhatch/cli/ctl_caller.py
+++ b/src/alderhatch/cli/ctl_caller.py
@@ -1,4 +1,4 @@
-"""``alderhatchctl query`` and ``book``: requests as a caller would send them."""
+"""``alderhatchctl query`` and ``book``: send requests as a caller does."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from ..errors import ErrorKind, Ran, Resend
 from ..http.client import http_once
 from ..http.exchange import HttpExchangeError
-from .ctl_context import OutputOption, ask, context_of
-from .ctl_look import require_entries
-from .operator_client import PAUSE, Place, RemoteError, read_error
+from .ctl_context import OutputOption, get_context, run_or_exit
+from .ctl_inspect import require_entries
+from .operator_client import RETRY_PAUSE, Endpoint, RemoteError, parse_error
 from .printing import OutputFormat, print_json
 from .request_ids import new_request_id
 
@@ -24,28 +24,31 @@
 
 QUERY_PATH = "/query"
 RUN_PATH = "/run"
-MARGIN: Millis = 2 * SECOND
-"""How much longer than the request's own deadline this program waits for its answer."""
+ANSWER_MARGIN: Millis = 2 * SECOND
+"""Time to wait for an answer beyond the request's deadline."""
 DEFAULT_DEADLINE: Millis = 30 * SECOND
 
 QueryArgument = Annotated[
-    str, typer.Argument(metavar="JSON", help="The query as a JSON object, as the shards take it.")
+    str,
+    typer.Argument(
+        metavar="JSON", help="The query as a JSON object, in the format that the shards accept."
+    ),
 ]
 UpstreamOption = Annotated[str, typer.Option(help="The upstream that holds the indexes.")]
-KindOption = Annotated[str, typer.Option(help="The caller's word for what it asks.")]
-CallerOption = Annotated[str, typer.Option(help="Who asks.")]
+KindOption = Annotated[str, typer.Option(help="The kind of request, as the caller names it.")]
+CallerOption = Annotated[str, typer.Option(help="The caller's name.")]
 ZoneOption = Annotated[str, typer.Option(help="The caller's availability zone.")]
-PriorityOption = Annotated[Priority, typer.Option(help="How urgent it is.")]
+PriorityOption = Annotated[Priority, typer.Option(help="The request's priority.")]
 DeadlineOption = Annotated[
-    float | None, typer.Option(min=1, help="Milliseconds within which the answer is wanted.")
+    float | None, typer.Option(min=1, help="Deadline of the request in milliseconds.")
 ]
 HeaderOption = Annotated[
     list[str] | None, typer.Option(help="A header field as NAME=VALUE; repeatable.")
 ]
 
 
-class _Ask(NamedTuple):
-    """One request with where it goes."""
+class _Request(NamedTuple):
+    """A request, its path and the caller's zone."""
 
     path: str
     body: dict[str, Any]
@@ -53,18 +56,18 @@
     zone: str
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         """Whether it may run more than once."""
         return self.path == QUERY_PATH
 
 
-class _Failed(NamedTuple):
-    """A round over the addresses that brought no answer."""
+class _FailedRound(NamedTuple):
+    """A round over the addresses without a successful answer."""
 
     error: RemoteError
-    """What the last of them said."""
-    lost: bool
-    """Whether any answer was lost on its way."""
+    """The error of the last address that was tried."""
+    answer_lost: bool
+    """Whether the answer of any address was lost."""
 
 
 @app.command()
@@ -80,10 +83,10 @@
     header: HeaderOption = None,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Ask for an address, send a query there and print the answer with its coverage."""
+    """Fetch the addresses to use, send a query and print the answer with its coverage."""
     request_id = new_request_id(WallClock().now())
-    body = _body(request_id, json, upstream, kind, caller, zone, priority, deadline_ms)
-    _send(ctx, _Ask(QUERY_PATH, body, _headers(header), zone), output)
+    body = _build_body(request_id, json, upstream, kind, caller, zone, priority, deadline_ms)
+    _send(ctx, _Request(QUERY_PATH, body, _parse_headers(header), zone), output)
 
 
 @app.command()
@@ -99,23 +102,23 @@
     header: HeaderOption = None,
     request_id: Annotated[
         str | None,
-        typer.Option(help="The id of a booking whose answer was lost; it won't run twice."),
+        typer.Option(help="The ID of a booking whose answer was lost; it does not run twice."),
     ] = None,
     key: Annotated[
-        str | None, typer.Option(help="What it is about; decides the shard that runs it.")
+        str | None, typer.Option(help="The key that selects the shard that runs it.")
     ] = None,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Send a dispatch or booking, which runs at most once, and print its outcome."""
     request_id = request_id or new_request_id(WallClock().now())
-    typer.echo(f"request id {request_id}", err=True)
-    body = _body(request_id, json, upstream, kind, caller, zone, priority, deadline_ms)
+    typer.echo(f"request ID {request_id}", err=True)
+    body = _build_body(request_id, json, upstream, kind, caller, zone, priority, deadline_ms)
     if key is not None:
         body["key"] = key
-    _send(ctx, _Ask(RUN_PATH, body, _headers(header), zone), output)
+    _send(ctx, _Request(RUN_PATH, body, _parse_headers(header), zone), output)
 
 
-def _body(
+def _build_body(
     request_id: str,
     json: str,
     upstream: str,
@@ -126,18 +129,18 @@
     deadline_ms: float | None,
 ) -> dict[str, Any]:
     try:
-        question = orjson.loads(json)
+        query_value = orjson.loads(json)
     except orjson.JSONDecodeError as exc:
         raise typer.BadParameter(f"not JSON: {exc}") from exc
-    if not isinstance(question, dict):
-        raise typer.BadParameter("the query is a JSON object")
+    if not isinstance(query_value, dict):
+        raise typer.BadParameter("the query: expected a JSON object")
     body: dict[str, Any] = {
         "request_id": request_id,
         "caller": caller,
         "kind": kind,
         "upstream": upstream,
         "priority": priority,
-        "query": question,
+        "query": query_value,
     }
     if zone:
         body["zone"] = zone
@@ -146,102 +149,110 @@
     return body
 
 
-def _headers(words: Sequence[str] | None) -> tuple[tuple[str, str], ...]:
-    pairs = [word.partition("=") for word in words or ()]
-    if not all(mark and name for name, mark, _ in pairs):
-        raise typer.BadParameter("a header field is NAME=VALUE")
+def _parse_headers(texts: Sequence[str] | None) -> tuple[tuple[str, str], ...]:
+    pairs = [text.partition("=") for text in texts or ()]
+    if not all(separator and name for name, separator, _ in pairs):
+        raise typer.BadParameter("a header field: expected NAME=VALUE")
     return tuple((name, value) for name, _, value in pairs)
 
 
-def _send(ctx: typer.Context, ask_for: _Ask, output: OutputFormat) -> None:
-    common = context_of(ctx)
+def _send(ctx: typer.Context, request: _Request, output: OutputFormat) -> None:
+    common = get_context(ctx)
     entries = require_entries(common)
-    answer = ask(output, lambda: _converse(entries, ask_for, common.timeout))
+    answer = run_or_exit(output, lambda: _send_with_retries(entries, request, common.timeout))
     if output is OutputFormat.JSON:
         print_json(answer)
         return
     _print_answer(answer)
 
 
-async def _converse(entries: Sequence[Place], ask_for: _Ask, timeout: Millis) -> dict[str, Any]:
-    """Send one request, and again wherever and whenever the answers say so."""
+async def _send_with_retries(
+    entries: Sequence[Endpoint], request: _Request, timeout: Millis
+) -> dict[str, Any]:
+    """Send a request and resend it as the answers advise."""
     clock = LoopClock()
-    end = clock.now() + timeout
-    places = await _addresses(entries, ask_for.zone, timeout)
-    lost = False
+    deadline = clock.now() + timeout
+    endpoints = await _fetch_addresses(entries, request.zone, timeout)
+    answer_lost = False
     while True:
-        answer = await _send_round(places, ask_for, end)
-        if not isinstance(answer, _Failed):
+        answer = await _send_round(endpoints, request, deadline)
+        if not isinstance(answer, _FailedRound):
             return answer
-        lost |= answer.lost
+        answer_lost |= answer.answer_lost
         error = answer.error
-        pause = error.details.get("retry_after_ms", PAUSE)
-        # An earlier sending still runs, or its outcome is on its way to the ledger. Given up here,
-        # somebody would take a booking that has run for one that has not.
-        if error.kind is not ErrorKind.IN_PROGRESS or clock.now() + pause >= end:
+        delay = error.details.get("retry_after_ms", RETRY_PAUSE)
+        # An earlier attempt is in progress, or its outcome is not yet in the ledger. If the
+        # command gave up here, a booking that runs could be taken for one that did not.
+        if error.kind is not ErrorKind.IN_PROGRESS or clock.now() + delay >= deadline:
             break
-        await trio.sleep(pause / SECOND)
-    if lost and error.ran is Ran.NOT_RUN and not ask_for.repeatable:
-        # An entry that refuses the resend speaks for itself only: an earlier one, whose answer
-        # was lost, may have run it. "Not run" would make somebody book it a second time.
-        raise _lost(ErrorKind.OUTCOME_UNKNOWN, f"an answer was lost; then: {error}", ask_for)
+        await trio.sleep(delay / SECOND)
+    if answer_lost and error.ran is Ran.NOT_RUN and not request.idempotent:
+        # The refusal covers only the entry that sent it: an earlier entry, whose answer was
+        # lost, may have run the booking. Reporting "not run" could lead to a second booking.
+        raise _remote_error(
+            ErrorKind.OUTCOME_UNKNOWN,
+            f"the answer of an earlier attempt was lost; last error: {error}",
+            request,
+        )
     raise error
 
 
 async def _send_round(
-    places: Sequence[Place], ask_for: _Ask, end: Millis
-) -> dict[str, Any] | _Failed:
-    """Try one address after the other while the answers say that another may help."""
+    endpoints: Sequence[Endpoint], request: _Request, deadline: Millis
+) -> dict[str, Any] | _FailedRound:
+    """Try the addresses in turn while the answers advise a resend to another one."""
     clock = LoopClock()
-    error = _lost(ErrorKind.NO_SNAPSHOT, "no address was given", ask_for)
-    lost = False
-    for place in places:
+    error = _remote_error(ErrorKind.NO_SNAPSHOT, "no address to send the request to", request)
+    answer_lost = False
+    for endpoint in endpoints:
         try:
-            return await _send_to(place, ask_for)
+            return await _send_to(endpoint, request)
         except RemoteError as exc:
             error = exc
-        lost |= error.kind is ErrorKind.OUTCOME_UNKNOWN
-        if clock.now() >= end or error.resend not in (Resend.OTHER_ENTRY, Resend.SAME_ID):
+        answer_lost |= error.kind is ErrorKind.OUTCOME_UNKNOWN
+        if clock.now() >= deadline or error.resend not in (Resend.OTHER_ENTRY, Resend.SAME_ID):
             break
-    return _Failed(error, lost)
+    return _FailedRound(error, answer_lost)
 
 
-async def _send_to(place: Place, ask_for: _Ask) -> dict[str, Any]:
-    span = ask_for.body.get("deadline_ms", DEFAULT_DEADLINE) + MARGIN
-    body = orjson.dumps(ask_for.body)
+async def _send_to(endpoint: Endpoint, request: _Request) -> dict[str, Any]:
+    time_limit = request.body.get("deadline_ms", DEFAULT_DEADLINE) + ANSWER_MARGIN
+    body = orjson.dumps(request.body)
     try:
         reply = await http_once(
-            place.address, place.port, "POST", ask_for.path, body, ask_for.headers, span
+            endpoint.address, endpoint.port, "POST", request.path, body, request.headers, time_limit
         )
     except HttpExchangeError as exc:
         kind = ErrorKind.OUTCOME_UNKNOWN if exc.sent else ErrorKind.LEASE_EXPIRED
-        raise _lost(kind, f"{place}: {exc}", ask_for) from exc
+        raise _remote_error(kind, f"{endpoint}: {exc}", request) from exc
     if reply.status != 200:
-        raise read_error(reply)
+        raise parse_error(reply)
     value: dict[str, Any] = orjson.loads(reply.body)
     return value
 
 
-def _lost(kind: ErrorKind, message: str, ask_for: _Ask) -> RemoteError:
-    resend = Resend.OTHER_ENTRY if ask_for.repeatable else Resend.SAME_ID
+def _remote_error(kind: ErrorKind, message: str, request: _Request) -> RemoteError:
+    resend = Resend.OTHER_ENTRY if request.idempotent else Resend.SAME_ID
     return RemoteError(kind, message, {"resend": resend})
 
 
-async def _addresses(entries: Sequence[Place], zone: str, timeout: Millis) -> list[Place]:
-    """Ask one entry after the other for the addresses to use."""
+async def _fetch_addresses(
+    entries: Sequence[Endpoint], zone: str, timeout: Millis
+) -> list[Endpoint]:
+    """Return the addresses that the first entry to answer advertises."""
     target = f"/addresses?zone={zone}" if zone else "/addresses"
-    why = "no entry was tried"
-    for place in entries:
+    last_failure = "no entry was tried"
+    for endpoint in entries:
         try:
-            reply = await http_once(place.address, place.port, "GET", target, timeout=timeout)
+            reply = await http_once(endpoint.address, endpoint.port, "GET", target, timeout=timeout)
         except HttpExchangeError as exc:
-            why = f"{place}: {exc}"
+            last_failure = f"{endpoint}: {exc}"
             continue
         if reply.status == 200:
             items: list[Mapping[str, Any]] = orjson.loads(reply.body)["addresses"]
-            return [Place(item["address"], item["port"]) for item in items]
-        why = f"{place}: {read_error(reply)}"
-    message = f"no entry told its addresses; the last one: {why}"
+            return [Endpoint(item["address"], item["port"]) for item in items]
+        last_failure = f"{endpoint}: {parse_error(reply)}"
+    message = f"no entry returned its addresses; last failure: {last_failure}"
     raise RemoteError(ErrorKind.LEASE_EXPIRED, message, {})
 
 
--- a/src/alderhatch/cli/ctl_check.py
+++ b/src/alderhatch/cli/ctl_check.py
@@ -1,4 +1,4 @@
-"""``alderhatchctl check``: settings and declarations, checked without any process."""
+"""``alderhatchctl check``: checks settings and declarations offline."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 class FileKind(StrEnum):
-    """What a file holds."""
+    """The type of a file."""
 
     AUTO = "auto"
-    """Told from the keys at its top."""
+    """Detected from the top-level keys."""
     ENTRY = "entry"
     CONTROL = "control"
     RULES = "rules"
 
 
-_KEYS_OF = {
+_TYPICAL_KEYS = {
     FileKind.RULES: {"rule"},
     FileKind.CONTROL: {"data_folder", "peers", "links", "keys_file"},
     FileKind.ENTRY: {"upstreams", "callers", "controls", "rules_file"},
 }
 
 
-class _Checked(NamedTuple):
-    """What was found in the files so far."""
+class _CheckResults(NamedTuple):
+    """Errors, warnings and contents of the files checked so far."""
 
     faults: list[SettingsFault]
     warnings: list[SettingsFault]
@@ -54,88 +54,92 @@
         list[Path], typer.Argument(metavar="FILE...", help="Settings and declarations.")
     ],
     kind: Annotated[
-        FileKind, typer.Option(help="What the files hold; auto tells it from their keys.")
+        FileKind, typer.Option(help="The type of the files; auto detects it from their keys.")
     ] = FileKind.AUTO,
     files: Annotated[
         bool,
-        typer.Option("--files", help="Also check the files that settings name, on their host."),
+        typer.Option(
+            "--files", help="Also check the files that the settings name; run it on their host."
+        ),
     ] = False,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Check files offline and print every mistake with its line and what is allowed.
+    """Check files offline and print every error with its line and the allowed values.
 
-    Given several files, it also checks that they fit together: no name or address twice, the
-    same control hosts everywhere, no rule for an upstream that no entry has.
+    With several files, it also checks that they are consistent: no duplicate name or address,
+    the same control hosts everywhere, no rule for an upstream that no entry has.
     """
-    found = _Checked([], [], [], [], [])
+    results = _CheckResults([], [], [], [], [])
     for path in paths:
-        _check_one(path, kind, files, found)
-    found.faults.extend(_check_set(found))
-    print_faults(found.faults, output)
-    for warning in found.warnings:
+        _check_file(path, kind, files, results)
+    results.faults.extend(_check_consistency(results))
+    print_faults(results.faults, output)
+    for warning in results.warnings:
         typer.echo(f"warning: {warning}", err=True)
-    if found.faults:
+    if results.faults:
         raise typer.Exit(ExitCode.INVALID)
     if output is OutputFormat.TABLE:
-        typer.echo(f"{len(paths)} files, no mistakes")
+        typer.echo(f"{len(paths)} files, no errors")
 
 
-def _check_one(path: Path, kind: FileKind, files: bool, found: _Checked) -> None:
+def _check_file(path: Path, kind: FileKind, files: bool, results: _CheckResults) -> None:
     try:
-        match _kind_of(path) if kind is FileKind.AUTO else kind:
+        match _detect_kind(path) if kind is FileKind.AUTO else kind:
             case FileKind.RULES:
                 declaration = load_declaration(path)
-                found.declarations.append((path, declaration))
-                found.warnings.extend(declaration.warnings)
+                results.declarations.append((path, declaration))
+                results.warnings.extend(declaration.warnings)
             case FileKind.CONTROL:
-                found.controls.append((path, load_control(path, files)))
+                results.controls.append((path, load_control(path, files)))
             case _:
-                found.entries.append((path, load_entry(path, files)))
+                results.entries.append((path, load_entry(path, files)))
     except SettingsFaultsError as exc:
-        found.faults.extend(exc.faults)
+        results.faults.extend(exc.faults)
 
 
-def _kind_of(path: Path) -> FileKind:
-    given = set(read_toml(path).raw)
-    hits = {kind: len(given & keys) for kind, keys in _KEYS_OF.items()}
-    best = max(hits, key=lambda kind: hits[kind])
-    if hits[best] == 0:
-        message = "neither the settings of a program nor a declaration"
-        allowed = "the keys of one of them; or say --kind"
+def _detect_kind(path: Path) -> FileKind:
+    found_keys = set(read_toml(path).raw)
+    match_counts = {kind: len(found_keys & keys) for kind, keys in _TYPICAL_KEYS.items()}
+    best = max(match_counts, key=lambda kind: match_counts[kind])
+    if match_counts[best] == 0:
+        message = "keys of neither a settings file nor a declaration"
+        allowed = "the keys of one of them, or give --kind"
         raise SettingsFaultsError([SettingsFault(str(path), 0, "", message, allowed)])
     return best
 
 
-def _check_set(found: _Checked) -> list[SettingsFault]:
-    faults = _twice("name", [(path, cfg.name) for path, cfg in found.entries])
-    faults += _twice("name", [(path, cfg.name) for path, cfg in found.controls])
-    callers = [(path, f"{cfg.callers.address}:{cfg.callers.port}") for path, cfg in found.entries]
-    faults += _twice("callers", callers)
-    peers = {cfg.peers for _, cfg in found.controls} | {cfg.controls for _, cfg in found.entries}
+def _check_consistency(results: _CheckResults) -> list[SettingsFault]:
+    faults = _find_duplicates("name", [(path, cfg.name) for path, cfg in results.entries])
+    faults += _find_duplicates("name", [(path, cfg.name) for path, cfg in results.controls])
+    callers = [(path, f"{cfg.callers.address}:{cfg.callers.port}") for path, cfg in results.entries]
+    faults += _find_duplicates("callers", callers)
+    peers = {cfg.peers for _, cfg in results.controls} | {
+        cfg.controls for _, cfg in results.entries
+    }
     if len(peers) > 1:
-        last = (found.entries or found.controls)[-1][0]
-        message = "the files do not agree on the control hosts"
+        last = (results.entries or results.controls)[-1][0]
+        message = "the files name different control hosts"
         faults.append(SettingsFault(str(last), 0, "controls", message, "the same in every file"))
-    if found.entries:
-        faults += _unknown_upstreams(found)
+    if results.entries:
+        faults += _find_unknown_upstreams(results)
     return faults
 
 
-def _twice(key: str, given: Sequence[tuple[Path, str]]) -> list[SettingsFault]:
-    counts = Counter(value for _, value in given)
+def _find_duplicates(key: str, values: Sequence[tuple[Path, str]]) -> list[SettingsFault]:
+    counts = Counter(value for _, value in values)
     return [
         SettingsFault(str(path), 0, key, f"{value!r} is also in another file", "each once")
-        for path, value in given
+        for path, value in values
         if counts[value] > 1
     ]
 
 
-def _unknown_upstreams(found: _Checked) -> Iterable[SettingsFault]:
-    known = {upstream.name for _, cfg in found.entries for upstream in cfg.upstreams}
-    for path, declaration in found.declarations:
+def _find_unknown_upstreams(results: _CheckResults) -> Iterable[SettingsFault]:
+    known_names = {upstream.name for _, cfg in results.entries for upstream in cfg.upstreams}
+    for path, declaration in results.declarations:
         for position, rule in enumerate(declaration.rules.rules, start=1):
             for name in rule.when.upstream:
-                if name not in known:
+                if name not in known_names:
                     key = f"rule {position} ({rule.name}): when.upstream"
                     message = f"no entry has an upstream {name!r}"
-                    yield SettingsFault(str(path), 0, key, message, ", ".join(sorted(known)))
+                    yield SettingsFault(str(path), 0, key, message, ", ".join(sorted(known_names)))
--- a/src/alderhatch/cli/ctl_context.py
+++ b/src/alderhatch/cli/ctl_context.py
@@ -1,4 +1,4 @@
-"""What the commands of ``alderhatchctl`` share: where to ask, with which key, and changes."""
+"""Options, client set-up and changes that the commands of ``alderhatchctl`` share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..settings.fault import SettingsFaultsError
 from ..settings.file_checks import check_private_file
 from .exit_codes import ExitCode
-from .operator_client import ChangeNotes, OperatorClient, Place, RemoteError
+from .operator_client import ChangeMetadata, Endpoint, OperatorClient, RemoteError
 from .printing import (
     OutputFormat,
     exit_code_for,
@@ -32,16 +32,16 @@
 
 
 class Wait(StrEnum):
-    """What a change waits for."""
+    """The state of a change that the command waits for."""
 
     ACCEPTED = "accepted"
-    """A majority of the control hosts has it on disk."""
+    """The change is on disk on a majority of the control hosts."""
     IN_FORCE = "in-force"
-    """Every entry with a live lease has confirmed it."""
+    """Every entry with a valid lease has confirmed the change."""
 
 
 OutputOption = Annotated[
-    OutputFormat, typer.Option("--output", "-o", help="A table for people or JSON for scripts.")
+    OutputFormat, typer.Option("--output", "-o", help="A table, or JSON for scripts.")
 ]
 ExpectRevisionOption = Annotated[
     int | None,
@@ -49,33 +49,33 @@
         "--expect-revision",
         min=0,
         help="Make the change only if the configuration is still at this revision. Without it, "
-        "the change builds on the present one.",
+        "the change builds on the current one.",
     ),
 ]
 ChangeIdOption = Annotated[
     str | None,
     typer.Option(
         "--change-id",
-        help="The id of a change whose answer was lost. The same change with the same id and "
-        "--expect-revision is applied once, however often it is sent.",
+        help="The ID of a change whose answer was lost. The same change with the same ID and "
+        "--expect-revision is applied only once.",
     ),
 ]
 WaitOption = Annotated[
     Wait,
     typer.Option(
         "--wait",
-        help="accepted: a majority of the control hosts has it on disk. in-force: every entry "
-        "that serves has confirmed it.",
+        help="accepted: on disk on a majority of the control hosts. in-force: confirmed by "
+        "every entry that serves.",
     ),
 ]
 ForcedOption = Annotated[
     bool,
-    typer.Option("--forced", help="Go on although the quorum or a zone's last entry is lost."),
+    typer.Option("--forced", help="Proceed even if the quorum or a zone's last entry is lost."),
 ]
 
 
 class ChangeOptions(NamedTuple):
-    """The options that each change takes."""
+    """The options of every command that makes a change."""
 
     change_id: str | None
     expect_revision: int | None
@@ -84,10 +84,10 @@
 
 
 class CtlContext(NamedTuple):
-    """The options that stand before the command."""
+    """The options that are given before the command."""
 
-    controls: tuple[Place, ...]
-    entries: tuple[Place, ...]
+    controls: tuple[Endpoint, ...]
+    entries: tuple[Endpoint, ...]
     key_file: Path | None
     timeout: Millis
     in_force_timeout: Millis
@@ -96,7 +96,7 @@
         """Return a client of the operator API.
 
         Raises:
-            typer.BadParameter: If it is not said where to ask, or with which key.
+            typer.BadParameter: If the control hosts or the key file are missing.
         """
         key = read_key(self.key_file)
         if not self.controls:
@@ -106,79 +106,79 @@
         return OperatorClient(self.controls, key, self.timeout)
 
 
-def context_of(ctx: typer.Context) -> CtlContext:
-    """Return the options that stand before the command."""
-    found = ctx.obj
-    assert isinstance(found, CtlContext)
-    return found
+def get_context(ctx: typer.Context) -> CtlContext:
+    """Return the options that are given before the command."""
+    context = ctx.obj
+    assert isinstance(context, CtlContext)
+    return context
 
 
-def parse_places(words: Sequence[str]) -> tuple[Place, ...]:
-    """Read ``ADDRESS:PORT`` words, which may also be several with commas between.
+def parse_endpoints(texts: Sequence[str]) -> tuple[Endpoint, ...]:
+    """Parse ``ADDRESS:PORT`` values, each of which may be a comma-separated list.
 
     Raises:
-        typer.BadParameter: If one is no IP address with a port.
+        typer.BadParameter: If one is not an IP address with a port.
     """
-    parts = [part.strip() for word in words for part in word.split(",")]
-    return tuple(parse_place(part) for part in parts if part)
+    parts = [part.strip() for text in texts for part in text.split(",")]
+    return tuple(parse_endpoint(part) for part in parts if part)
 
 
-def parse_place(word: str) -> Place:
-    """Read one ``ADDRESS:PORT``; an IPv6 address stands in brackets.
+def parse_endpoint(text: str) -> Endpoint:
+    """Parse one ``ADDRESS:PORT``; an IPv6 address is in brackets.
 
     Raises:
-        typer.BadParameter: If it is no IP address with a port.
+        typer.BadParameter: If it is not an IP address with a port.
     """
-    address, _, port = word.rpartition(":")
+    address, _, port = text.rpartition(":")
     address = address.removeprefix("[").removesuffix("]")
     try:
         ip_address(address)
-        number = int(port)
+        port_number = int(port)
     except ValueError as exc:
-        raise typer.BadParameter(f"{word!r} is not ADDRESS:PORT with an IP address") from exc
-    if not 0 < number <= 65535:
-        raise typer.BadParameter(f"{word!r}: the port is from 1 to 65535")
-    return Place(address, number)
+        raise typer.BadParameter(f"{text!r} is not ADDRESS:PORT with an IP address") from exc
+    if not 0 < port_number <= 65535:
+        raise typer.BadParameter(f"{text!r}: the port must be from 1 to 65535")
+    return Endpoint(address, port_number)
 
 
 def read_key(path: Path | None) -> str:
     """Read an operator's key from a file that only its owner can read.
 
     Raises:
-        typer.BadParameter: If the file can't be read or others can read it too.
+        typer.BadParameter: If the file cannot be read or other users can read it.
     """
     if path is None:
         return ""
-    found = list(check_private_file("key-file", path, 1))
-    if found:
-        raise typer.BadParameter(f"{found[0].message} (allowed: {found[0].allowed})")
+    file_faults = list(check_private_file("key-file", path, 1))
+    if file_faults:
+        raise typer.BadParameter(f"{file_faults[0].message} (allowed: {file_faults[0].allowed})")
     return path.read_text().strip()
 
 
-def ask(output: OutputFormat, question: Callable[[], Awaitable[_Result]]) -> _Result:
-    """Run one conversation and turn an error of the other side into its exit code.
+def run_or_exit(output: OutputFormat, operation: Callable[[], Awaitable[_Result]]) -> _Result:
+    """Run an operation and exit with the matching code if a host answers with an error.
 
     Raises:
-        typer.Exit: With the code that the table of exit codes has for the error.
+        typer.Exit: With the exit code for the error.
     """
     try:
-        return trio.run(question)
+        return trio.run(operation)
     except RemoteError as exc:
         print_remote_error(exc, output)
         raise typer.Exit(exit_code_for(exc)) from exc
 
 
-def change(
+def make_change(
     ctx: typer.Context,
     method: str,
     path: str,
     fields: Mapping[str, Any],
     options: ChangeOptions,
 ) -> None:
-    """Make one change, print its answer and end with its exit code.
+    """Make a change and print the answer.
 
     Raises:
-        typer.Exit: With the code that the table of exit codes has for what happened.
+        typer.Exit: If the change failed or is not yet in force.
     """
     answer = send_change(ctx, method, path, fields, options)
     if options.output is OutputFormat.JSON:
@@ -195,15 +195,15 @@
     fields: Mapping[str, Any],
     options: ChangeOptions,
 ) -> dict[str, Any]:
-    """Make one change and return its answer.
+    """Make a change and return the answer.
 
-    The change id and the revision are shown before anything is sent, so that they are known even
-    if this program is killed before its answer comes.
+    The change ID and the revision are printed before the change is sent, so that the operator
+    has them even if this program is killed before the answer arrives.
 
     Raises:
-        typer.Exit: With the code that the table of exit codes has for what failed.
+        typer.Exit: With the exit code for the error.
     """
-    common = context_of(ctx)
+    common = get_context(ctx)
     client = common.client()
     change_id = options.change_id or new_change_id()
     wait = common.in_force_timeout if options.wait is Wait.IN_FORCE else None
@@ -212,26 +212,28 @@
         expected = options.expect_revision
         if expected is None:
             expected = (await client.get("/v1/rules"))["revision"]
-        typer.echo(f"change id {change_id}, on revision {expected}", err=True)
-        return await client.change(method, path, fields, ChangeNotes(change_id, expected, wait))
+        typer.echo(f"change ID {change_id}, on revision {expected}", err=True)
+        return await client.change(method, path, fields, ChangeMetadata(change_id, expected, wait))
 
     try:
-        return ask(options.output, send)
+        return run_or_exit(options.output, send)
     except KeyboardInterrupt as exc:
-        typer.echo("interrupted; it may be accepted. Send it again with its change id.", err=True)
+        typer.echo(
+            "interrupted; the change may be accepted. Resend it with its change ID.", err=True
+        )
         raise typer.Exit(ExitCode.UNKNOWN) from exc
 
 
 def new_change_id() -> str:
-    """Return a change id that no other change has."""
+    """Return a random change ID."""
     return f"c-{secrets.token_hex(CHANGE_ID_BYTES)}"
 
 
 def exit_if_not_in_force(answer: Mapping[str, Any]) -> None:
-    """End with its own exit code if an accepted change is not in force everywhere yet.
+    """Exit with ``NOT_IN_FORCE`` if an accepted change is not yet in force everywhere.
 
     Raises:
-        typer.Exit: If so.
+        typer.Exit: If an entry has not confirmed the change.
     """
     if answer.get("in_force") is False:
         waiting = ", ".join(answer.get("waiting_for", ()))
@@ -239,11 +241,11 @@
         raise typer.Exit(ExitCode.NOT_IN_FORCE)
 
 
-def declaration_or_exit(path: Path, output: OutputFormat) -> Declaration:
-    """Load a declaration; print its mistakes and end if it has any.
+def load_declaration_or_exit(path: Path, output: OutputFormat) -> Declaration:
+    """Load a declaration, or print its errors and exit.
 
     Raises:
-        typer.Exit: If it has mistakes.
+        typer.Exit: If the declaration has errors.
     """
     try:
         declaration = load_declaration(path)
@@ -255,6 +257,6 @@
     return declaration
 
 
-def seconds(value: float) -> Millis:
-    """Return a span given in seconds in milliseconds."""
+def seconds_to_millis(value: float) -> Millis:
+    """Convert seconds to milliseconds."""
     return value * SECOND
--- a/src/alderhatch/cli/ctl_hosts.py
+++ b/src/alderhatch/cli/ctl_hosts.py
@@ -1,4 +1,4 @@
-"""``alderhatchctl hosts``, ``stop``, ``depart``, ``return`` and ``repair``."""
+"""``alderhatchctl hosts``, ``stop``, ``depart``, ``return`` and ``repair``: the hosts of a tier."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     OutputOption,
     Wait,
     WaitOption,
-    ask,
-    change,
-    context_of,
-    parse_place,
+    get_context,
+    make_change,
+    parse_endpoint,
+    run_or_exit,
 )
-from .operator_client import path_of
+from .operator_client import api_path
 from .printing import OutputFormat, print_json, print_table
 
 app = typer.Typer()
-stop_app = typer.Typer(help="Plan the stop of an entry or control host, or take the plan back.")
+stop_app = typer.Typer(help="Plan the stop of an entry or control host, or cancel it.")
 
 HostArgument = Annotated[str, typer.Argument(metavar="NAME", help="The host's name.")]
 
 
 class HostRole(StrEnum):
-    """What a host that departs was."""
+    """The role of a host that departs."""
 
     ENTRY = "entry"
     CONTROL = "control"
@@ -40,8 +40,8 @@
 @app.command()
 def hosts(ctx: typer.Context, output: OutputOption = OutputFormat.TABLE) -> None:
     """Show the entries with their leases, the control hosts and the leaving servers."""
-    client = context_of(ctx).client()
-    answer = ask(output, lambda: client.get("/v1/hosts"))
+    client = get_context(ctx).client()
+    answer = run_or_exit(output, lambda: client.get("/v1/hosts"))
     if output is OutputFormat.JSON:
         print_json(answer)
         return
@@ -63,9 +63,9 @@
     wait: WaitOption = Wait.ACCEPTED,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Have host NAME stop gracefully: it leaves the address answers and ends what it runs."""
+    """Stop host NAME gracefully: it is not advertised any more and completes its requests."""
     options = ChangeOptions(change_id, expect_revision, wait, output)
-    change(ctx, "POST", path_of("hosts", name, "stop"), {"forced": forced}, options)
+    make_change(ctx, "POST", api_path("hosts", name, "stop"), {"forced": forced}, options)
 
 
 @stop_app.command("cancel")
@@ -77,18 +77,18 @@
     wait: WaitOption = Wait.ACCEPTED,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Take back the planned stop or departure of host NAME."""
+    """Cancel the planned stop or departure of host NAME."""
     options = ChangeOptions(change_id, expect_revision, wait, output)
-    change(ctx, "POST", path_of("hosts", name, "cancel-stop"), {}, options)
+    make_change(ctx, "POST", api_path("hosts", name, "cancel-stop"), {}, options)
 
 
 @app.command()
 def depart(
     ctx: typer.Context,
     name: HostArgument,
-    role: Annotated[HostRole, typer.Option(help="What it is.")],
+    role: Annotated[HostRole, typer.Option(help="The host's role.")],
     upstream: Annotated[
-        str | None, typer.Option(help="For a server: the name of its upstream.")
+        str | None, typer.Option(help="The upstream of the server; for the role upstream only.")
     ] = None,
     forced: ForcedOption = False,
     change_id: ChangeIdOption = None,
@@ -96,30 +96,30 @@
     wait: WaitOption = Wait.ACCEPTED,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Declare that a host, or a server of an upstream, leaves for good."""
+    """Remove a host, or a server of an upstream, permanently."""
     options = ChangeOptions(change_id, expect_revision, wait, output)
     fields: dict[str, Any] = {"role": role}
     if role is HostRole.UPSTREAM:
-        fields["upstream"] = _upstream_or_usage(upstream)
+        fields["upstream"] = _require_upstream(upstream)
     else:
         fields["forced"] = forced
-    change(ctx, "POST", path_of("hosts", name, "depart"), fields, options)
+    make_change(ctx, "POST", api_path("hosts", name, "depart"), fields, options)
 
 
 @app.command("return")
 def return_server(
     ctx: typer.Context,
-    name: Annotated[str, typer.Argument(metavar="NAME", help="The server's id.")],
-    upstream: Annotated[str, typer.Option(help="The name of its upstream.")],
+    name: Annotated[str, typer.Argument(metavar="NAME", help="The server's ID.")],
+    upstream: Annotated[str, typer.Option(help="The name of the upstream.")],
     change_id: ChangeIdOption = None,
     expect_revision: ExpectRevisionOption = None,
     wait: WaitOption = Wait.ACCEPTED,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Use a leaving server of an upstream again."""
+    """Put a leaving server of an upstream back into service."""
     options = ChangeOptions(change_id, expect_revision, wait, output)
     fields = {"role": HostRole.UPSTREAM, "upstream": upstream}
-    change(ctx, "POST", path_of("hosts", name, "return"), fields, options)
+    make_change(ctx, "POST", api_path("hosts", name, "return"), fields, options)
 
 
 @app.command()
@@ -135,24 +135,24 @@
     wait: WaitOption = Wait.ACCEPTED,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Replace control host NAME by a new one with an empty disk."""
+    """Replace control host NAME with a new one that has an empty disk."""
     options = ChangeOptions(change_id, expect_revision, wait, output)
-    place = parse_place(links)
+    endpoint = parse_endpoint(links)
     fields = {
         "replacement": {
             "name": replacement,
             "zone": zone,
-            "address": place.address,
-            "port": place.port,
+            "address": endpoint.address,
+            "port": endpoint.port,
         },
         "forced": forced,
     }
-    change(ctx, "POST", path_of("hosts", name, "repair"), fields, options)
+    make_change(ctx, "POST", api_path("hosts", name, "repair"), fields, options)
 
 
-def _upstream_or_usage(upstream: str | None) -> str:
+def _require_upstream(upstream: str | None) -> str:
     if upstream is None:
-        raise typer.BadParameter("a server's departure needs --upstream")
+        raise typer.BadParameter("the role upstream needs --upstream")
     return upstream
 
 
--- a/src/alderhatch/cli/ctl_logs.py
+++ b/src/alderhatch/cli/ctl_logs.py
@@ -1,4 +1,4 @@
-"""``alderhatchctl explain-request``: what became of one request, by the logs."""
+"""``alderhatchctl explain-request``: shows the history of a request from the logs."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 @app.command("explain-request")
 def explain_request(
-    request_id: Annotated[str, typer.Argument(help="The id as the caller knows it.")],
+    request_id: Annotated[str, typer.Argument(help="The request ID that the caller sent.")],
     files: Annotated[
         list[Path],
-        typer.Argument(metavar="FILE...", help="Logs of the hosts, as they were written."),
+        typer.Argument(metavar="FILE...", help="Log files of the hosts."),
     ],
 ) -> None:
-    """Show what the logs of several hosts say of one request, and what decided its fate.
+    """Show the log lines of several hosts for one request and what decided its outcome.
 
-    Exit code 4 if no line names the request: requests that went well are sampled.
+    Exit code 4 if no line names the request; only a sample of successful requests is logged.
     """
     texts: list[str] = []
     for file in files:
@@ -34,7 +34,7 @@
             raise typer.Exit(ExitCode.INVALID) from exc
     history = history_of(request_id, texts)
     if not history:
-        typer.echo(f"no line names request {request_id}", err=True)
+        typer.echo(f"no log line names request {request_id}", err=True)
         raise typer.Exit(ExitCode.REFUSED)
     for line in history:
         for row in describe(line):
--- a/src/alderhatch/cli/difference.py
+++ b/src/alderhatch/cli/difference.py
@@ -1,4 +1,4 @@
-"""What differs between the tier and a declaration."""
+"""Differences between the configuration of a tier and a declaration."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Difference(NamedTuple):
-    """One difference."""
+    """A difference between the tier and a declaration."""
 
     change: str
     """``added``, ``withdrawn``, ``edited`` or ``moved``."""
     what: str
     """The rule's name, or ``tier``."""
     field: str
-    """The field that is edited; empty for the rule as a whole."""
+    """The edited field; empty if the change concerns the whole rule."""
     now: object
     declared: object
 
@@ -23,28 +23,30 @@
 def compare_rules(
     now: Sequence[Mapping[str, Any]], declared: Sequence[Mapping[str, Any]]
 ) -> list[Difference]:
-    """Return what has to happen to the present list to make it the declared one."""
+    """Return the changes that turn the current list of rules into the declared one."""
     old = {rule["name"]: (position, rule) for position, rule in enumerate(now, start=1)}
     new = {rule["name"]: (position, rule) for position, rule in enumerate(declared, start=1)}
-    found = [
+    differences = [
         Difference("withdrawn", name, "", f"place {position}", None)
         for name, (position, _) in old.items()
         if name not in new
     ]
-    moved = _moved([name for name in old if name in new], [name for name in new if name in old])
+    moved = _find_moved(
+        [name for name in old if name in new], [name for name in new if name in old]
+    )
     for name, (position, rule) in new.items():
         if name not in old:
-            found.append(Difference("added", name, "", None, f"place {position}"))
+            differences.append(Difference("added", name, "", None, f"place {position}"))
             continue
         if name in moved:
-            places = (f"place {old[name][0]}", f"place {position}")
-            found.append(Difference("moved", name, "", *places))
-        found += _edits(name, old[name][1], rule)
-    return found
+            positions = (f"place {old[name][0]}", f"place {position}")
+            differences.append(Difference("moved", name, "", *positions))
+        differences += _find_edited_fields(name, old[name][1], rule)
+    return differences
 
 
 def compare_tier(now: Mapping[str, Any], declared: Mapping[str, Any]) -> list[Difference]:
-    """Return which declared settings of the tier differ from the present ones."""
+    """Return the declared tier settings that differ from the current ones."""
     return [
         Difference("edited", "tier", field, now.get(field), value)
         for field, value in declared.items()
@@ -52,24 +54,26 @@
     ]
 
 
-def _moved(old: list[str], new: list[str]) -> set[str]:
-    """Return the fewest rules whose move turns one order into the other."""
+def _find_moved(old: list[str], new: list[str]) -> set[str]:
+    """Return the rules to move to turn one order into the other."""
     kept: set[str] = set()
     for block in SequenceMatcher(None, old, new, autojunk=False).get_matching_blocks():
         kept |= set(old[block.a : block.a + block.size])
     return set(old) - kept
 
 
-def _edits(name: str, old: Mapping[str, Any], new: Mapping[str, Any]) -> list[Difference]:
-    flat_old, flat_new = _flat(old), _flat(new)
+def _find_edited_fields(
+    name: str, old: Mapping[str, Any], new: Mapping[str, Any]
+) -> list[Difference]:
+    old_fields, new_fields = _flatten(old), _flatten(new)
     return [
-        Difference("edited", name, field, flat_old.get(field), flat_new.get(field))
-        for field in dict.fromkeys([*flat_old, *flat_new])
-        if flat_old.get(field) != flat_new.get(field)
+        Difference("edited", name, field, old_fields.get(field), new_fields.get(field))
+        for field in dict.fromkeys([*old_fields, *new_fields])
+        if old_fields.get(field) != new_fields.get(field)
     ]
 
 
-def _flat(rule: Mapping[str, Any]) -> dict[str, Any]:
+def _flatten(rule: Mapping[str, Any]) -> dict[str, Any]:
     return {
         f"{part}.{field}": value
         for part in ("when", "then")
--- a/src/alderhatch/cli/entry.py
+++ b/src/alderhatch/cli/entry.py
@@ -1,4 +1,4 @@
-"""``alderhatch-entry``: takes callers' requests and fans them out over an upstream's shards."""
+"""``alderhatch-entry``: accepts callers' requests and fans them out over an upstream's shards."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     LogLevelOption,
     SettingsArgument,
     exit_code_help,
-    run_by_settings,
+    run_with_settings,
 )
 
 PROGRAM = "alderhatch-entry"
@@ -24,13 +24,14 @@
 app = typer.Typer(name=PROGRAM, rich_markup_mode=None)
 
 
-@app.command(help=f"""Run one entry by the settings in FILE.
+@app.command(help=f"""Run one entry with the settings in FILE.
 
-    It logs JSON lines on standard error. SIGTERM or SIGINT begins a planned stop: the entry leaves
-    the address answers, serves on until they have run out, ends what it runs and exits with code
-    0. A second signal ends it at once and cuts off what runs.
+    It logs JSON lines on standard error. SIGTERM or SIGINT starts a planned stop: the entry is
+    no longer advertised to callers, serves until the addresses that they hold have expired,
+    completes its requests and exits with code 0. A second signal stops it at once and aborts the
+    requests in progress.
 
-    Mistakes in FILE are printed with their lines, and nothing is started.
+    Errors in FILE are printed with their line numbers, and nothing is started.
 
     {exit_code_help()}
     """)
@@ -40,11 +41,11 @@
     log_level: LogLevelOption = LogLevel.INFO,
 ) -> None:
     """Run one entry."""
-    code = run_by_settings(PROGRAM, _load, settings, check, log_level, run_entry)
+    code = run_with_settings(PROGRAM, _load_settings, settings, check, log_level, run_entry)
     raise typer.Exit(code)
 
 
-def _load(path: Path) -> EntrySettings:
+def _load_settings(path: Path) -> EntrySettings:
     cfg = load_entry(path)
     if cfg.rules_file is not None:
         load_declaration(cfg.rules_file)
--- a/src/alderhatch/cli/exit_codes.py
+++ b/src/alderhatch/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""The closed table of the programs' exit codes."""
+"""The exit codes of the programs."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the exit code of each of the programs means."""
+    """An exit code of the programs."""
 
     OK = 0
     FAULT = 1
@@ -22,20 +22,20 @@
 
     @property
     def meaning(self) -> str:
-        """One sentence for help texts and the docs."""
+        """Description for help texts and the documentation."""
         return _MEANINGS[self]
 
 
 _MEANINGS = {
-    ExitCode.OK: "Done, or nothing had to be done.",
-    ExitCode.FAULT: "A fault of alderhatch itself; the log has a traceback.",
-    ExitCode.USAGE: "The command line was wrong; nothing was tried.",
-    ExitCode.INVALID: "A settings or declaration file has mistakes; each was printed.",
-    ExitCode.REFUSED: "Refused or failed; the message says why. The same again would not help.",
+    ExitCode.OK: "Success, or there was nothing to do.",
+    ExitCode.FAULT: "An internal error in alderhatch; the log has a traceback.",
+    ExitCode.USAGE: "The command line was invalid; nothing was done.",
+    ExitCode.INVALID: "A settings or declaration file has errors; each was printed.",
+    ExitCode.REFUSED: "Refused or failed; the message says why. A retry would not help.",
     ExitCode.CONFLICT: "The configuration is at another revision than expected; nothing changed.",
-    ExitCode.UNAVAILABLE: "Nobody could take it now: not run, and worth another try later.",
-    ExitCode.UNKNOWN: "It may have happened. The message says whether to send the same id.",
+    ExitCode.UNAVAILABLE: "No host could accept it now; it did not run and can be retried later.",
+    ExitCode.UNKNOWN: "The outcome is unknown. The message says whether to resend the same ID.",
     ExitCode.DIFFERENT: "diff found differences.",
-    ExitCode.NOT_IN_FORCE: "Accepted, but not in force everywhere within the time given.",
+    ExitCode.NOT_IN_FORCE: "Accepted, but not in force everywhere within the time limit.",
     ExitCode.CANNOT_START: "The program could not open its addresses or its data folder.",
 }
--- a/src/alderhatch/cli/operator_client.py
+++ b/src/alderhatch/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""A client of the operator API that finds the leader and never applies a change twice."""
+"""A client of the operator API that finds the leader and applies a change at most once."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from ..http.exchange import HttpExchangeError, HttpReply
 
 ATTEMPT_TIMEOUT: Millis = 3 * SECOND
-CONTROL_DUMP = "/v1/dump"
-ENTRY_DUMP = "/dump"
-PAUSE: Millis = 200.0
-"""Between two rounds over all control hosts."""
+CONTROL_DUMP_PATH = "/v1/dump"
+ENTRY_DUMP_PATH = "/dump"
+RETRY_PAUSE: Millis = 200.0
+"""Pause between two rounds over all control hosts."""
 
 
-class Place(NamedTuple):
-    """Where an HTTP server of ours listens."""
+class Endpoint(NamedTuple):
+    """Address and port of an HTTP server of alderhatch."""
 
     address: str
     port: int
@@ -32,51 +32,51 @@
 
 
 class RemoteError(Exception):
-    """What the other side answered instead of what was asked for."""
+    """An error that a host answered, or that stands for a missing answer."""
 
     def __init__(self, kind: ErrorKind, message: str, details: Mapping[str, Any]) -> None:
         super().__init__(message)
         self.kind = kind
         self.details = dict(details)
-        """The whole answer, with the fields that only some kinds have."""
+        """The complete answer, with the fields that only some kinds of error have."""
 
     @property
     def ran(self) -> Ran:
-        """Whether the change or request may have been carried out."""
+        """Whether the change or request ran."""
         return Ran(self.details.get("ran", ANSWERS[self.kind].ran))
 
     @property
     def resend(self) -> Resend:
-        """What to do with it now."""
+        """Whether and where to resend the change or request."""
         return Resend(self.details.get("resend", ANSWERS[self.kind].resend))
 
 
-class ChangeNotes(NamedTuple):
-    """What goes with each change."""
+class ChangeMetadata(NamedTuple):
+    """Change ID, expected revision and wait time of a change."""
 
     change_id: str
     expected_revision: int | None = None
-    """The revision that the operator looked at; None takes the present one."""
+    """The revision that the change builds on; None uses the current one."""
     in_force_timeout: Millis | None = None
-    """How long to wait until the change is in force everywhere; None does not wait."""
+    """Maximum time to wait until the change is in force everywhere; None does not wait."""
 
 
 class OperatorClient:
-    """Talks to whichever control host can answer.
+    """Sends reads and changes to the control host that can answer them.
 
     Args:
-        controls: The operator endpoints of the control hosts, in the order to try.
+        controls: The operator endpoints of the control hosts, in the order in which to try them.
         key: The operator's key.
-        timeout: The longest time for one question or change over all control hosts.
+        timeout: Maximum time for one read or change, over all control hosts.
     """
 
-    def __init__(self, controls: Sequence[Place], key: str, timeout: Millis) -> None:
+    def __init__(self, controls: Sequence[Endpoint], key: str, timeout: Millis) -> None:
         self._controls = list(controls)
         self._headers = (("Authorization", f"Bearer {key}"),)
         self._timeout = timeout
 
     @property
-    def controls(self) -> Sequence[Place]:
+    def controls(self) -> Sequence[Endpoint]:
         """The operator endpoints, in the order in which they are tried."""
         return tuple(self._controls)
 
@@ -84,150 +84,159 @@
         """Read from the leader.
 
         Raises:
-            RemoteError: If it was refused, or nobody could answer in time.
+            RemoteError: If it was refused, or no control host could answer in time.
         """
-        return await self._ask("GET", _target(path, query), b"")
+        return await self._send("GET", _request_target(path, query), b"")
 
     async def post(self, path: str, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Ask a question that needs a body.
+        """Read with a POST request that has a body.
 
         Raises:
-            RemoteError: If it was refused, or nobody could answer in time.
+            RemoteError: If it was refused, or no control host could answer in time.
         """
-        return await self._ask("POST", path, orjson.dumps(body))
+        return await self._send("POST", path, orjson.dumps(body))
 
-    async def get_from(self, place: Place, path: str) -> dict[str, Any]:
-        """Read one process's own view.
+    async def get_from(self, endpoint: Endpoint, path: str) -> dict[str, Any]:
+        """Read from one process only.
 
         Raises:
             RemoteError: If it was refused, or the process did not answer.
         """
-        return await self._read_from(place, path, self._headers)
+        return await self._get_with_headers(endpoint, path, self._headers)
 
-    async def dump_of(self, place: Place) -> dict[str, Any]:
+    async def get_dump(self, endpoint: Endpoint) -> dict[str, Any]:
         """Read the state dump of an entry or a control host.
 
         Raises:
             RemoteError: If it was refused, or the process did not answer.
         """
-        # Entries show their dump without a key. It is not sent to them, since whatever listens
-        # at a mistyped address would then hold it.
+        # An entry needs no key for its dump. The key is not sent on the first attempt, because
+        # the process at a mistyped address would receive it.
         try:
-            return await self._read_from(place, ENTRY_DUMP, ())
+            return await self._get_with_headers(endpoint, ENTRY_DUMP_PATH, ())
         except RemoteError as exc:
             if exc.kind not in (ErrorKind.UNAUTHORIZED, ErrorKind.NOT_FOUND):
                 raise
-        return await self.get_from(place, CONTROL_DUMP)
+        return await self.get_from(endpoint, CONTROL_DUMP_PATH)
 
     async def change(
-        self, method: str, path: str, fields: Mapping[str, Any], notes: ChangeNotes
+        self, method: str, path: str, fields: Mapping[str, Any], metadata: ChangeMetadata
     ) -> dict[str, Any]:
-        """Make a change, at most once, however often it has to be sent.
+        """Make a change; it is applied at most once, also if it is resent.
 
         Args:
             method: The HTTP method.
-            path: The change's path.
+            path: The path of the change.
             fields: The fields of this change.
-            notes: The change id, the revision that it builds on, and whether to wait.
+            metadata: The change ID, the revision that it builds on, and whether to wait.
 
         Returns:
             The answer to the accepted change.
 
         Raises:
-            RemoteError: With ``ran`` telling whether it may have been accepted.
+            RemoteError: If it failed; ``ran`` says whether the change may have been accepted.
         """
-        expected = notes.expected_revision
+        expected = metadata.expected_revision
         if expected is None:
             expected = (await self.get("/v1/rules"))["revision"]
-        body = {**fields, "change_id": notes.change_id, "expected_revision": expected}
+        body = {**fields, "change_id": metadata.change_id, "expected_revision": expected}
         query: dict[str, object] = {}
-        if notes.in_force_timeout is not None:
-            query = {"wait": "in_force", "timeout_ms": int(notes.in_force_timeout)}
-        target = _target(path, query)
-        wait = notes.in_force_timeout or 0.0
-        return await self._ask(method, target, orjson.dumps(body), wait, is_change=True)
-
-    async def _read_from(
-        self, place: Place, path: str, headers: Sequence[tuple[str, str]]
+        if metadata.in_force_timeout is not None:
+            query = {"wait": "in_force", "timeout_ms": int(metadata.in_force_timeout)}
+        target = _request_target(path, query)
+        wait = metadata.in_force_timeout or 0.0
+        return await self._send(method, target, orjson.dumps(body), wait, is_change=True)
+
+    async def _get_with_headers(
+        self, endpoint: Endpoint, path: str, headers: Sequence[tuple[str, str]]
     ) -> dict[str, Any]:
         try:
             reply = await http_once(
-                place.address, place.port, "GET", path, b"", headers, ATTEMPT_TIMEOUT
+                endpoint.address, endpoint.port, "GET", path, b"", headers, ATTEMPT_TIMEOUT
             )
         except HttpExchangeError as exc:
-            raise RemoteError(ErrorKind.NO_LEADER, f"{place}: {exc}", {}) from exc
-        return _read(reply)
+            raise RemoteError(ErrorKind.NO_LEADER, f"{endpoint}: {exc}", {}) from exc
+        return _parse_reply(reply)
 
-    async def _ask(
+    async def _send(
         self, method: str, target: str, body: bytes, wait: Millis = 0.0, is_change: bool = False
     ) -> dict[str, Any]:
         clock = LoopClock()
-        end = clock.now() + self._timeout + wait
-        known = ErrorKind.NO_LEADER
-        why = "no control host was tried"
-        while clock.now() < end:
-            for place in tuple(self._controls):
-                span = min(ATTEMPT_TIMEOUT + wait, max(end - clock.now(), PAUSE))
+        deadline = clock.now() + self._timeout + wait
+        error_kind = ErrorKind.NO_LEADER
+        last_failure = "no control host was tried"
+        while clock.now() < deadline:
+            for endpoint in tuple(self._controls):
+                time_limit = min(ATTEMPT_TIMEOUT + wait, max(deadline - clock.now(), RETRY_PAUSE))
                 try:
                     reply = await http_once(
-                        place.address, place.port, method, target, body, self._headers, span
+                        endpoint.address,
+                        endpoint.port,
+                        method,
+                        target,
+                        body,
+                        self._headers,
+                        time_limit,
                     )
-                    return _read(reply)
+                    return _parse_reply(reply)
                 except HttpExchangeError as exc:
-                    why = f"{place}: {exc}"
-                    # Once a byte of a change has left, its answer may be what was lost. Calling
-                    # it "not taken" would make the operator send it anew under another id.
+                    last_failure = f"{endpoint}: {exc}"
+                    # Once a byte of a change is sent, the change may be accepted and only its
+                    # answer lost. Reporting "not run" could make the operator send it again
+                    # with another ID.
                     if exc.sent and is_change:
-                        known = ErrorKind.CHANGE_UNKNOWN
+                        error_kind = ErrorKind.CHANGE_UNKNOWN
                 except RemoteError as exc:
-                    why = f"{place}: {exc}"
+                    last_failure = f"{endpoint}: {exc}"
                     match exc.kind:
                         case ErrorKind.NO_LEADER:
-                            self._prefer(exc.details.get("leader"))
+                            self._try_first(exc.details.get("leader"))
                         case ErrorKind.CHANGE_UNKNOWN | ErrorKind.STORAGE_FAILED:
-                            known = ErrorKind.CHANGE_UNKNOWN if is_change else known
+                            error_kind = ErrorKind.CHANGE_UNKNOWN if is_change else error_kind
                         case _:
                             raise
-            await trio.sleep(PAUSE / SECOND)
-        raise RemoteError(known, f"no control host could answer; the last one: {why}", {})
+            await trio.sleep(RETRY_PAUSE / SECOND)
+        raise RemoteError(
+            error_kind, f"no control host could answer; last failure: {last_failure}", {}
+        )
 
-    def _prefer(self, leader: Mapping[str, Any] | None) -> None:
+    def _try_first(self, leader: Mapping[str, Any] | None) -> None:
         if not leader:
             return
-        place = Place(leader["address"], leader["port"])
-        if place in self._controls:
-            self._controls.remove(place)
-        self._controls.insert(0, place)
+        endpoint = Endpoint(leader["address"], leader["port"])
+        if endpoint in self._controls:
+            self._controls.remove(endpoint)
+        self._controls.insert(0, endpoint)
 
 
-def path_of(*parts: str) -> str:
-    """Return a path under ``/v1`` whose parts are escaped."""
+def api_path(*parts: str) -> str:
+    """Return a path under ``/v1`` with percent-encoded segments."""
     return "/".join(["/v1", *(quote(part, safe="") for part in parts)])
 
 
-def _target(path: str, query: Mapping[str, object]) -> str:
-    given = {name: value for name, value in query.items() if value is not None}
-    return f"{path}?{urlencode(given)}" if given else path
+def _request_target(path: str, query: Mapping[str, object]) -> str:
+    parameters = {name: value for name, value in query.items() if value is not None}
+    return f"{path}?{urlencode(parameters)}" if parameters else path
 
 
-def read_error(reply: HttpReply) -> RemoteError:
-    """Return the error that an answer other than 200 tells of."""
+def parse_error(reply: HttpReply) -> RemoteError:
+    """Return the error that an answer with a status other than 200 describes."""
     try:
         details = orjson.loads(reply.body)
         kind = ErrorKind(details["error"])
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-        message = f"status {reply.status} without a known kind of error"
+        message = f"status {reply.status} with an unknown kind of error"
         return RemoteError(ErrorKind.INTERNAL, message, {})
     return RemoteError(kind, details.get("message", ANSWERS[kind].meaning), details)
 
 
-def _read(reply: HttpReply) -> dict[str, Any]:
+def _parse_reply(reply: HttpReply) -> dict[str, Any]:
     if reply.status != 200:
-        raise read_error(reply)
+        raise parse_error(reply)
     try:
         value = orjson.loads(reply.body)
     except orjson.JSONDecodeError as exc:
         raise RemoteError(ErrorKind.INTERNAL, "the answer is not JSON", {}) from exc
     if not isinstance(value, dict):
-        raise RemoteError(ErrorKind.INTERNAL, "the answer is no JSON object", {})
+        raise RemoteError(ErrorKind.INTERNAL, "the answer is not a JSON object", {})
     return value
--- a/src/alderhatch/cli/program.py
+++ b/src/alderhatch/cli/program.py
@@ -1,4 +1,4 @@
-"""What the long-running programs share: settings, logs, signals and exit codes."""
+"""Settings, logs, signals and exit codes of the long-running programs."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 CheckOption = Annotated[
-    bool, typer.Option("--check", help="Check the settings and their files, and exit.")
+    bool, typer.Option("--check", help="Check the settings and the files that they name, and exit.")
 ]
 
 
 class LogLevel(StrEnum):
-    """The lowest level of events that is logged."""
+    """The minimum level of logged events."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -41,7 +41,7 @@
     ERROR = "error"
 
 
-LogLevelOption = Annotated[LogLevel, typer.Option(help="The lowest level logged.")]
+LogLevelOption = Annotated[LogLevel, typer.Option(help="The minimum level of logged events.")]
 
 
 def exit_code_help() -> str:
@@ -51,10 +51,10 @@
 
 
 def load_or_exit(load: Callable[[Path], _Settings], path: Path) -> _Settings:
-    """Load settings; print their mistakes on standard error and end if they have any.
+    """Load settings, or print their errors on standard error and exit.
 
     Raises:
-        typer.Exit: If the file has mistakes.
+        typer.Exit: If the file has errors.
     """
     try:
         return load(path)
@@ -64,7 +64,7 @@
         raise typer.Exit(ExitCode.INVALID) from exc
 
 
-def run_by_settings(
+def run_with_settings(
     program: str,
     load: Callable[[Path], _Settings],
     path: Path,
@@ -72,25 +72,25 @@
     level: LogLevel,
     run: Callable[[_Settings], Awaitable[None]],
 ) -> ExitCode:
-    """Load a program's settings, and run it by them unless they are only to be checked.
+    """Load the settings of a program, and run it unless they are only to be checked.
 
     Args:
         program: The program's name, for its log lines.
-        load: Reads and checks the settings.
-        path: Their file.
-        check: Whether to end once they were checked.
-        level: The lowest level that is logged.
+        load: Loads and checks the settings.
+        path: The settings file.
+        check: Whether to exit after the check.
+        level: The minimum level of logged events.
         run: The main task.
 
     Returns:
         The program's exit code.
 
     Raises:
-        typer.Exit: If the file has mistakes.
+        typer.Exit: If the file has errors.
     """
     cfg = load_or_exit(load, path)
     if check:
-        typer.echo(f"{path}: no mistakes")
+        typer.echo(f"{path}: no errors")
         return ExitCode.OK
     return run_program(program, level, lambda: run(cfg))
 
@@ -105,7 +105,7 @@
 
     Args:
         program: The program's name, for its log lines.
-        level: The lowest level that is logged.
+        level: The minimum level of logged events.
         run: The main task.
         stop_on_signal: Whether SIGTERM and SIGINT cancel it; False if it handles them itself.
 
--- a/src/alderhatch/cli/request_ids.py
+++ b/src/alderhatch/cli/request_ids.py
@@ -1,4 +1,4 @@
-"""Request ids that say when they were made: UUIDs of version 7 (RFC 9562)."""
+"""Request IDs with a creation time: UUIDs of version 7 (RFC 9562)."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def new_request_id(now: Millis) -> str:
-    """Return an id that nobody else has.
+    """Return a unique ID.
 
-    The run ledger can tell from it whether a resend is older than what it remembers.
+    Its creation time shows the run ledger whether a resend is older than its retention period.
 
     Args:
         now: Milliseconds since 1970 UTC.
     """
-    chance = secrets.randbits(_TIME_SHIFT)
-    random_bits = chance & (_RANDOM_A_MASK | _RANDOM_B_MASK)
+    random_value = secrets.randbits(_TIME_SHIFT)
+    random_bits = random_value & (_RANDOM_A_MASK | _RANDOM_B_MASK)
     return str(UUID(int=int(now) << _TIME_SHIFT | _VERSION | _VARIANT | random_bits))
--- a/src/alderhatch/cli/upstream.py
+++ b/src/alderhatch/cli/upstream.py
@@ -1,4 +1,4 @@
-"""``alderhatch-upstream``: a stand-in upstream on loopback, for trials and tests."""
+"""``alderhatch-upstream``: a stand-in upstream on loopback, for experiments and tests."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 @app.command(help=f"""Run all servers of a stand-in upstream on loopback.
 
-    It follows the page of the upstream protocol. Once all servers listen, it prints the shard map
-    as one line of JSON, with their ids, addresses and ports; the first of them serves as seed for
-    an entry's settings.
+    It implements the documented upstream protocol. Once all servers listen, it prints the shard
+    map as one line of JSON, with their IDs, addresses and ports; use the first server as the seed
+    in an entry's settings.
 
     The FILE of --faults is TOML with [[fault]] tables, such as
 
     \b
       [[fault]]
-      servers = "navigator-03"   # servers whose ids begin with this
+      servers = "navigator-03"   # servers whose IDs start with this
       after_ms = 5000
       for_ms = 10000
       straggle_ms = 200          # or shed_ms, draining, lose, crash, freeze, garbage, ...
@@ -42,32 +42,38 @@
     """)
 def upstream(
     name: Annotated[str, typer.Argument(metavar="NAME", help="The upstream's name.")],
-    shards: Annotated[int, typer.Option(min=1, max=1000, help="Shards.")] = 4,
-    servers: Annotated[int, typer.Option(min=1, max=10, help="Servers of each shard.")] = 2,
-    slots: Annotated[int, typer.Option(min=1, max=100, help="Slots of each server.")] = 2,
+    shards: Annotated[int, typer.Option(min=1, max=1000, help="Number of shards.")] = 4,
+    servers: Annotated[int, typer.Option(min=1, max=10, help="Servers per shard.")] = 2,
+    slots: Annotated[int, typer.Option(min=1, max=100, help="Slots per server.")] = 2,
     connections: Annotated[
-        int, typer.Option(min=1, max=1000, help="Connections that a server accepts.")
+        int, typer.Option(min=1, max=1000, help="Maximum number of connections to a server.")
     ] = 30,
     connect_ms: Annotated[
-        float, typer.Option(min=0, help="Milliseconds that a new connection costs.")
+        float, typer.Option(min=0, help="Milliseconds to open a connection.")
     ] = 1.0,
     median_ms: Annotated[
-        float, typer.Option(min=0, help="Median milliseconds of a shard request.")
+        float, typer.Option(min=0, help="Median service time of a shard request in milliseconds.")
     ] = 2.0,
     zone: Annotated[
         list[str] | None, typer.Option(help="Availability zones of the servers; repeatable.")
     ] = None,
     first_port: Annotated[
         int,
-        typer.Option(min=0, max=65535, help="The first server's port, and up; 0: any are taken."),
+        typer.Option(
+            min=0,
+            max=65535,
+            help="Port of the first server; the others follow it. 0: any free ports.",
+        ),
     ] = 0,
     faults: Annotated[
         Path | None,
-        typer.Option(metavar="FILE", help="Which servers fail how, from when, for how long."),
+        typer.Option(
+            metavar="FILE", help="Fault script: which servers fail, how, when and for how long."
+        ),
     ] = None,
-    seed: Annotated[int, typer.Option(help="Fixes the service times.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the service times.")] = 1,
     log_level: Annotated[
-        LogLevel, typer.Option(help="The lowest level logged.")
+        LogLevel, typer.Option(help="The minimum level of logged events.")
     ] = LogLevel.WARNING,
 ) -> None:
     """Run a stand-in upstream until a signal."""
@@ -89,8 +95,10 @@
         return parse_fault_script(file.raw.get(FAULT_KEY, []))
     except ValidationError as exc:
         allowed = Allowed(TypeAdapter(list[FaultStep]).json_schema())
-        found = [explain_error(file, allowed, error, (FAULT_KEY,)) for error in exc.errors()]
-        raise SettingsFaultsError(found) from exc
+        settings_faults = [
+            explain_error(file, allowed, error, (FAULT_KEY,)) for error in exc.errors()
+        ]
+        raise SettingsFaultsError(settings_faults) from exc
 
 
 def main() -> None:
