--- a/src/alderhatch/cli/control.py
+++ b/src/alderhatch/cli/control.py
@@ -1,4 +1,4 @@
-"""``alderhatch-control``: stores rules, host plans, leases and the run ledger on a majority."""
+"""``alderhatch-control``: keeps rules, host plans, leases and run ledger on a majority of disks."""
 
 from __future__ import annotations
 
--- a/src/alderhatch/cli/ctl_caller.py
+++ b/src/alderhatch/cli/ctl_caller.py
@@ -67,7 +67,7 @@
     error: RemoteError
     """The error of the last address that was tried."""
     answer_lost: bool
-    """Whether the answer of any address was lost."""
+    """Whether an answer of any address was lost."""
 
 
 @app.command()
@@ -105,7 +105,7 @@
         typer.Option(help="The ID of a booking whose answer was lost; it does not run twice."),
     ] = None,
     key: Annotated[
-        str | None, typer.Option(help="The key that selects the shard that runs it.")
+        str | None, typer.Option(help="Key of the booking; selects the shard that runs it.")
     ] = None,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
--- a/src/alderhatch/cli/exit_codes.py
+++ b/src/alderhatch/cli/exit_codes.py
@@ -34,7 +34,7 @@
     ExitCode.REFUSED: "Refused or failed; the message says why. A retry would not help.",
     ExitCode.CONFLICT: "The configuration is at another revision than expected; nothing changed.",
     ExitCode.UNAVAILABLE: "No host could accept it now; it did not run and can be retried later.",
-    ExitCode.UNKNOWN: "The outcome is unknown. The message says whether to resend the same ID.",
+    ExitCode.UNKNOWN: "Outcome unknown. The message says whether to resend it with the same ID.",
     ExitCode.DIFFERENT: "diff found differences.",
     ExitCode.NOT_IN_FORCE: "Accepted, but not in force everywhere within the time limit.",
     ExitCode.CANNOT_START: "The program could not open its addresses or its data folder.",
