--- a/src/alderhatch/cli/upstream.py
+++ b/src/alderhatch/cli/upstream.py
@@ -96,7 +96,7 @@
     except ValidationError as exc:
         allowed = AllowedValues(TypeAdapter(list[FaultStep]).json_schema())
         settings_faults = [
-            explain_error(file, allowed, error, (FAULT_KEY,)) for error in exc.errors()
+            to_settings_fault(file, allowed, error, (FAULT_KEY,)) for error in exc.errors()
         ]
         raise SettingsFaultsError(settings_faults) from exc
 
