--- a/src/alderhatch/cli/upstream.py
+++ b/src/alderhatch/cli/upstream.py
@@ -10,7 +10,7 @@
 
 from ..settings.allowed_values import AllowedValues
 from ..settings.fault import SettingsFaultsError
-from ..settings.loader import read_toml
+from ..settings.loader import read_toml, to_settings_fault
 from ..standin.app import UpstreamOptions, run_upstream
 from ..standin.fault_script import FaultStep, parse_fault_script
 from ..standin.standin_server import ServiceTime, UpstreamShape
