--- a/features/steps/log_node_steps.py
+++ b/features/steps/log_node_steps.py
@@ -425,7 +425,7 @@
         await _propose_all(cluster, 5, context.acknowledged)
         leader = await cluster.leader()
         name = (await _follower_names(cluster))[0]
-        outbox = leader._links.remotes[name].outbox
+        outbox = leader._links.peers[name].outbox
         Link.send = send_or_drop
         dropped_links.append(outbox.link)
         before = cluster.hosts[name].node.status().applied_index
@@ -434,7 +434,7 @@
         context.silent = {
             "new_commands": cluster.hosts[name].node.status().applied_index - before,
             "same_leader": (await cluster.leader()).name == leader.name,
-            "new_link": leader._links.remotes[name].outbox is not outbox,
+            "new_link": leader._links.peers[name].outbox is not outbox,
         }
         await _record(context, cluster)
 
--- a/src/alderhatch/control/_log_bootstrap.py
+++ b/src/alderhatch/control/_log_bootstrap.py
@@ -68,22 +68,22 @@
         return [name for name in self._founders if name != self._name]
 
     def _peers_have_no_cluster(self) -> bool:
-        remotes = self._links.remotes
+        peers = self._links.peers
         return all(
-            name in remotes and remotes[name].outbox is not None and remotes[name].cluster_id == ""
+            name in peers and peers[name].outbox is not None and peers[name].cluster_id == ""
             for name in self._other_founders()
         )
 
     def _any_peer_has_cluster(self) -> bool:
-        return any(remote.cluster_id for remote in self._links.remotes.values())
+        return any(remote.cluster_id for remote in self._links.peers.values())
 
     def _bootstrap(self) -> None:
         members = []
         for name in sorted(self._founders):
-            endpoint = self._founders[name]
+            peer_address = self._founders[name]
             is_self = name == self._name
-            member_id = self._storage.member_id if is_self else self._links.remotes[name].member_id
-            members.append(Member(member_id, name, endpoint.address, endpoint.port))
+            member_id = self._storage.member_id if is_self else self._links.peers[name].member_id
+            members.append(Member(member_id, name, peer_address.address, peer_address.port))
         membership = Membership(tuple(members))
         entry = LogEntry(1, BOOTSTRAP_TERM, EntryKind.MEMBERSHIP, b"", membership)
         cluster_id = os.urandom(_CLUSTER_ID_BYTES).hex()
--- a/src/alderhatch/control/_log_driver.py
+++ b/src/alderhatch/control/_log_driver.py
@@ -133,7 +133,7 @@
         self.step(PeerConnected(member_id))
 
     def join(self, cluster_id: str) -> bool:
-        """Return whether this host belongs to a cluster; a host without a cluster joins it."""
+        """Return whether this host belongs to the cluster; a host without a cluster joins it."""
         storage = self._storage
         if storage.cluster_id:
             return storage.cluster_id == cluster_id
--- a/src/alderhatch/control/_log_links.py
+++ b/src/alderhatch/control/_log_links.py
@@ -41,9 +41,11 @@
     on_message: Callable[[str, Message], None]
     """Called with the sender's member ID and a message from a member of the same cluster."""
     on_connected: Callable[[str], None]
-    """Called with the member ID when a link to a member was opened."""
+    """Called with the peer's member ID when a link to it was opened, unless the peer is in another
+    cluster."""
     join: Callable[[str], bool]
-    """Returns whether this host belongs to a cluster; a host without a cluster joins it."""
+    """Returns whether this host belongs to the cluster with this ID; a host without a cluster joins
+    it."""
 
 
 class Outbox:
@@ -73,16 +75,19 @@
 class RemotePeer:
     """A peer and the link that this host dials to it."""
 
-    def __init__(self, endpoint: PeerAddress) -> None:
-        self.endpoint = endpoint
+    def __init__(self, peer_address: PeerAddress) -> None:
+        self.peer_address = peer_address
         self.member_id = ""
         """The member ID that the peer last reported; empty if none yet."""
         self.cluster_id: str | None = None
-        """The cluster ID that the peer last reported; empty if none, None if never reached."""
+        """The cluster ID that the peer last reported; empty if it belongs to no cluster, None if it
+        was never reached."""
         self.outbox: Outbox | None = None
-        """Queue of the open link; None while there is no link to a member of this cluster."""
+        """Queue of the open link; None without a link and while the peer is in another cluster."""
         self.scope = trio.CancelScope()
+        """Cancelled to close the link and stop dialling."""
         self.awaiting_reply_since: Millis | None = None
+        """Since when a reply has been awaited; None if none is awaited."""
 
 
 class LogLinks:
@@ -106,30 +111,30 @@
         self._nursery: trio.Nursery | None = None
         self._accepted: dict[str, Outbox] = {}
         self._reported_foreign: set[str] = set()
-        self.remotes: dict[str, RemotePeer] = {}
+        self.peers: dict[str, RemotePeer] = {}
         """The peers by host name."""
         self.changed = trio.Event()
-        """Set and replaced by a new event when a peer is reached or reports other IDs."""
+        """Set, and replaced by a new event, when a peer is reached or reports other IDs."""
 
     # Peers
 
-    def add_peer(self, endpoint: PeerAddress) -> None:
+    def add_peer(self, peer_address: PeerAddress) -> None:
         """Start dialling a peer; a known peer with a new address is dialled there instead."""
-        if endpoint.name == self._own_peer.name:
+        if peer_address.name == self._own_peer.name:
             return
-        existing = self.remotes.get(endpoint.name)
-        if existing is not None and existing.endpoint == endpoint:
+        existing = self.peers.get(peer_address.name)
+        if existing is not None and existing.peer_address == peer_address:
             return
         if existing is not None:
             existing.scope.cancel()
-        remote = RemotePeer(endpoint)
-        self.remotes[endpoint.name] = remote
+        remote = RemotePeer(peer_address)
+        self.peers[peer_address.name] = remote
         if self._nursery is not None:
             self._nursery.start_soon(self._maintain_link, remote)
 
     def remove_peer(self, name: str) -> None:
         """Close the link to a peer and stop dialling it."""
-        remote = self.remotes.pop(name, None)
+        remote = self.peers.pop(name, None)
         if remote is not None:
             remote.scope.cancel()
 
@@ -137,32 +142,32 @@
         """Maintain a link to every peer until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            for remote in self.remotes.values():
+            for remote in self.peers.values():
                 nursery.start_soon(self._maintain_link, remote)
             await trio.sleep_forever()
 
     # Sending
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message to a member; it is dropped if there is no link."""
+        """Send a message to the member with this ID; it is dropped if there is no link."""
         if isinstance(message, REPLY_TYPES):
             outbox = self._accepted.get(to)
             if outbox is not None:
                 outbox.put(message)
             return
-        for remote in self.remotes.values():
+        for remote in self.peers.values():
             if remote.member_id == to and remote.outbox is not None:
                 remote.outbox.put(message)
 
     def send_hellos(self) -> None:
-        """Send this host's IDs to every peer, after it has joined a cluster.
+        """Send this host's IDs to every peer; called when this host has joined a cluster.
 
-        A peer ignores requests from a sender that, by its last hello, belongs to no cluster.
-        Without a new hello, a host could be elected or take over the leadership only after its
-        next probe: a leadership transfer in the first second would leave the log without a leader
-        for about a second.
+        A peer ignores requests from a sender whose last hello named no cluster. The next hello is
+        sent only by the next probe of the link. Without this one, this host could become leader
+        only after that probe, whether by an election or by a leadership transfer: a transfer in
+        the first second would leave the log without a leader for about a second.
         """
-        for remote in self.remotes.values():
+        for remote in self.peers.values():
             if remote.outbox is not None:
                 remote.outbox.put(self._hello())
 
@@ -173,7 +178,7 @@
         with remote.scope:
             while True:
                 try:
-                    await self._run_dialled(remote)
+                    await self._run_dialled_link(remote)
                 except LinkClosedError:
                     pass
                 finally:
@@ -182,13 +187,15 @@
                 pause = self._cfg.redial if was_connected else min(2 * pause, self._cfg.max_redial)
                 await trio.sleep(pause / SECOND)
 
-    async def _run_dialled(self, remote: RemotePeer) -> None:
-        endpoint = remote.endpoint
+    async def _run_dialled_link(self, remote: RemotePeer) -> None:
+        peer_address = remote.peer_address
         async with open_link(
-            endpoint.address, endpoint.port, self._codec, self._secret, self._own_peer
+            peer_address.address, peer_address.port, self._codec, self._secret, self._own_peer
         ) as link:
-            if link.peer != Peer(endpoint.name, PEER_ROLE):
-                log_event(LogEvent.LOG_PEER_REFUSED, peer=link.peer.name, expected=endpoint.name)
+            if link.peer != Peer(peer_address.name, PEER_ROLE):
+                log_event(
+                    LogEvent.LOG_PEER_REFUSED, peer=link.peer.name, expected=peer_address.name
+                )
                 return
             remote.awaiting_reply_since = None
             async with trio.open_nursery() as nursery:
@@ -214,7 +221,7 @@
         is_changed = (remote.member_id, remote.cluster_id) != (reply.member_id, reply.cluster_id)
         remote.member_id = reply.member_id
         remote.cluster_id = reply.cluster_id
-        if self._is_foreign(reply.cluster_id, link):
+        if self._report_if_foreign(reply.cluster_id, link):
             remote.outbox = None
         elif remote.outbox is None:
             remote.outbox = Outbox(link)
@@ -234,6 +241,7 @@
                 return
 
     async def _probe(self, remote: RemotePeer, link: Link) -> None:
+        """Send a hello at every probe interval; a link without any reply is closed as silent."""
         while True:
             self._expect_reply(remote)
             if not await self._send(link, self._hello()):
@@ -245,14 +253,14 @@
             remote.awaiting_reply_since = self._clock.now()
 
     async def _close_when_silent(self, remote: RemotePeer, scope: trio.CancelScope) -> None:
-        # A device between the hosts may have dropped its connection state: packets are lost and
-        # neither end gets an error. The peer would seem to be down until the kernel gives up,
-        # although a new connection would work at once.
+        # A device between the hosts may have dropped its state of the connection: packets are lost
+        # and neither end gets an error. Until the kernel gives up the connection, the peer would
+        # seem to be down, although a new connection would work at once.
         while True:
             await trio.sleep(self._cfg.silence / 4 / SECOND)
             since = remote.awaiting_reply_since
             if since is not None and self._clock.now() - since >= self._cfg.silence:
-                log_event(LogEvent.LOG_LINK_SILENT, peer=remote.endpoint.name)
+                log_event(LogEvent.LOG_LINK_SILENT, peer=remote.peer_address.name)
                 scope.cancel()
                 return
 
@@ -288,9 +296,10 @@
         own = self._hello()
         self._accepted[hello.member_id] = outbox
         outbox.put(PeerHelloReply(own.member_id, own.cluster_id))
-        self._is_foreign(hello.cluster_id, outbox.link)
+        self._report_if_foreign(hello.cluster_id, outbox.link)
 
-    def _is_foreign(self, cluster_id: str, link: Link) -> bool:
+    def _report_if_foreign(self, cluster_id: str, link: Link) -> bool:
+        """Return whether a peer belongs to another cluster; log that once for each peer."""
         own = self._hello().cluster_id
         if "" in (cluster_id, own) or cluster_id == own:
             return False
--- a/src/alderhatch/control/_log_members.py
+++ b/src/alderhatch/control/_log_members.py
@@ -83,7 +83,7 @@
         with trio.move_on_after(self._cfg.request_timeout / SECOND):
             while True:
                 changed = self._links.changed
-                remote = self._links.remotes.get(name)
+                remote = self._links.peers.get(name)
                 if remote is None:
                     raise request_error(ErrorKind.INVALID_CHANGE, f"no address is known for {name}")
                 if remote.cluster_id not in (None, "", self._storage.cluster_id):
@@ -93,7 +93,9 @@
                 if remote.outbox is not None:
                     break
                 await changed.wait()
-            return Member(remote.member_id, name, remote.endpoint.address, remote.endpoint.port)
+            return Member(
+                remote.member_id, name, remote.peer_address.address, remote.peer_address.port
+            )
         raise request_error(
             ErrorKind.NO_LEADER, f"{name} was not reached within the request timeout"
         )
--- a/src/alderhatch/core/at_most_once.py
+++ b/src/alderhatch/core/at_most_once.py
@@ -1,8 +1,9 @@
 """Execution of non-idempotent requests: claimed, sent once, outcome recorded.
 
-Such a request must never run twice; that would send two robots to one door or air a spot twice.
-Nothing is sent before the claim is stored on a majority of disks. A second server is asked only if
-the first certainly did not run the request. Every uncertain result ends as "outcome unknown".
+Such a request must never run twice; that would send two robots to one door or broadcast an
+advertisement twice. The entry first claims the request in the run ledger, and sends it to a server
+only once the claim is stored on a majority of disks. It sends it to a second server only if the
+first certainly did not run it. Every uncertain result ends as "outcome unknown".
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 _REFUSALS = {
     Claim.IN_PROGRESS: (
         ErrorKind.IN_PROGRESS,
-        "an earlier attempt with this request id is still running",
+        "an earlier request with this request id is still running",
     ),
     Claim.OUTCOME_UNKNOWN: (
         ErrorKind.OUTCOME_UNKNOWN,
@@ -74,32 +75,36 @@
             ClaimRun(run.query, request.caller, request.request_id, run.fingerprint)
         )
 
-    def decided(self, run: SingleRun, event: ClaimDecided) -> None:
-        """Handle the run ledger's answer to the claim."""
+    def on_claim_decided(self, run: SingleRun, event: ClaimDecided) -> None:
+        """Handle the run ledger's answer to the claim: send the request, or answer the caller."""
         if run.stage is not Stage.CLAIMING:
             return
         if event.claim is Claim.GRANTED:
-            self._granted(run)
+            self._on_granted(run)
             return
         if event.claim is Claim.DONE:
-            self._finish(run, self._decode_stored(event.stored))
+            self._answer_caller(run, self._decode_stored(event.stored))
         else:
             kind, message = _REFUSALS[event.claim]
-            retry = {Claim.IN_PROGRESS: IN_PROGRESS_RETRY_MS, Claim.UNAVAILABLE: LEDGER_RETRY_MS}
+            retry_delays = {
+                Claim.IN_PROGRESS: IN_PROGRESS_RETRY_MS,
+                Claim.UNAVAILABLE: LEDGER_RETRY_MS,
+            }
             if not run.caller_served:
                 run.caller_served = True
                 core = self._state
-                core.refuse(run.query, run.rule, kind, message, retry.get(event.claim))
+                core.refuse(run.query, run.rule, kind, message, retry_delays.get(event.claim))
         if event.claim is Claim.UNAVAILABLE:
             # The claim may still have been recorded. Nothing was sent, so it is released;
             # otherwise a resend would get "in progress" for a request that never ran.
-            self._record(run, Ran.NOT_RUN, None)
+            self._record_outcome(run, Ran.NOT_RUN, None)
         self._end(run)
 
     def _decode_stored(self, stored: bytes | None) -> Outcome | None:
         return decode_outcome(stored) if stored else None
 
-    def _finish(self, run: SingleRun, outcome: Outcome | None) -> None:
+    def _answer_caller(self, run: SingleRun, outcome: Outcome | None) -> None:
+        """Return an outcome to the caller; None if it was not stored or can't be decoded."""
         if run.caller_served:
             return
         run.caller_served = True
@@ -110,10 +115,10 @@
             return
         core.effects.append(Finish(run.query, outcome))
 
-    def _granted(self, run: SingleRun) -> None:
+    def _on_granted(self, run: SingleRun) -> None:
         core = self._state
-        # The ledger can answer after the caller disconnected or was told that the request did not
-        # run. Running it then would contradict that refusal.
+        # The ledger can answer after the caller has disconnected or has received a refusal that
+        # says that the request did not run. Running it then would contradict that refusal.
         if run.caller_served or core.now >= run.deadline:
             self._end_not_run(run, ErrorKind.LEDGER_UNAVAILABLE, "the claim was granted too late")
             return
@@ -149,11 +154,11 @@
                 self._end_not_run(run, ErrorKind.UPSTREAM_REFUSED, why)
 
     def resume(self, run: SingleRun) -> None:
-        """Send a request that was waiting for a server."""
+        """Send a request that waits for a server; called when one may be usable."""
         if run.stage is Stage.WAITING:
             self._send(run)
 
-    def answered(self, run: SingleRun, state: ShardState, answer: ShardAnswer) -> None:
+    def on_attempt_answer(self, run: SingleRun, state: ShardState, answer: ShardAnswer) -> None:
         """Handle the attempt's answer: record it and return it to the caller."""
         core = self._state
         name = state.plan.shard.name
@@ -174,7 +179,7 @@
         )
         self._end_ran(run, outcome)
 
-    def failed(
+    def on_attempt_failure(
         self, run: SingleRun, state: ShardState, fault: AttemptFault, server_id: str
     ) -> None:
         """Handle a failed attempt: retry it, or record its outcome."""
@@ -183,7 +188,7 @@
             core.crashes.record_loss(run.fingerprint, run.upstream.name, server_id, core.now)
         state.reason = fault
         if fault in NOT_RUN_FAULTS:
-            self._retry_unrun(run, fault)
+            self._retry_not_run(run, fault)
             return
         if fault in (AttemptFault.FAILED, AttemptFault.REFUSED):
             message = "the upstream ran the request and reported a failure"
@@ -194,8 +199,8 @@
             return
         self._end_unknown(run, f"the attempt ended with fault {fault}")
 
-    def _retry_unrun(self, run: SingleRun, fault: AttemptFault) -> None:
-        """Try another server; the last one certainly did not run the request."""
+    def _retry_not_run(self, run: SingleRun, fault: AttemptFault) -> None:
+        """Send the request to another server; the last one certainly did not run it."""
         core = self._state
         if core.now >= run.deadline or run.caller_served:
             self._end_not_run(
@@ -212,12 +217,12 @@
         self._send(run)
 
     def _end_ran(self, run: SingleRun, outcome: Outcome) -> None:
-        self._record(run, Ran.RAN, outcome)
-        self._finish(run, outcome)
+        self._record_outcome(run, Ran.RAN, outcome)
+        self._answer_caller(run, outcome)
         self._end(run)
 
     def _end_unknown(self, run: SingleRun, why: str) -> None:
-        self._record(run, Ran.UNKNOWN, None)
+        self._record_outcome(run, Ran.UNKNOWN, None)
         if not run.caller_served:
             run.caller_served = True
             self._state.refuse(run.query, run.rule, ErrorKind.OUTCOME_UNKNOWN, why)
@@ -225,14 +230,14 @@
 
     def _end_not_run(self, run: SingleRun, kind: ErrorKind, why: str) -> None:
         """End a request that no server has run, and release its claim."""
-        self._record(run, Ran.NOT_RUN, None)
+        self._record_outcome(run, Ran.NOT_RUN, None)
         if not run.caller_served:
             run.caller_served = True
-            retry = max(run.retry_after or 0.0, MIN_REFUSED_RETRY_MS)
-            self._state.refuse(run.query, run.rule, kind, why, retry)
+            retry_delay = max(run.retry_after or 0.0, MIN_REFUSED_RETRY_MS)
+            self._state.refuse(run.query, run.rule, kind, why, retry_delay)
         self._end(run)
 
-    def _record(self, run: SingleRun, ran: Ran, outcome: Outcome | None) -> None:
+    def _record_outcome(self, run: SingleRun, ran: Ran, outcome: Outcome | None) -> None:
         data = encode_outcome(outcome) if outcome is not None else b""
         request = run.request
         self._state.effects.append(
@@ -240,12 +245,13 @@
         )
 
     def _end(self, run: SingleRun) -> None:
+        """Remove the request and release its admitted shards."""
         run.ended = True
         self._state.runs.pop(run.query, None)
         if run.limiter is not None:
             run.limiter.release_shards(run, run.units)
 
-    def wake(self, run: SingleRun, kind: TimerKind) -> None:
+    def on_timer_expired(self, run: SingleRun, kind: TimerKind) -> None:
         """Handle an expired timer of a request."""
         core = self._state
         if kind is TimerKind.LINGER:
@@ -268,6 +274,8 @@
             case Stage.QUEUED:
                 pass
         if not run.ended:
+            # The ledger or the server may still answer. Its answer is awaited for the linger time,
+            # in order to record the outcome.
             core.timers.add(core.now + core.policy.linger_ms, TimerKind.LINGER, run)
 
     def _refuse_without_claim(self, run: SingleRun) -> None:
@@ -281,6 +289,7 @@
         )
 
     def _outcome_timed_out(self, run: SingleRun) -> None:
+        """End a request that has no outcome when the linger time after its deadline has passed."""
         if run.stage is not Stage.SENT:
             self._end_not_run(
                 run, ErrorKind.LEDGER_UNAVAILABLE, "the run ledger did not answer the claim"
@@ -291,7 +300,7 @@
                 self._dispatcher.cancel(attempt)
         self._end_unknown(run, "the server did not answer the attempt")
 
-    def caller_gone(self, run: SingleRun) -> None:
+    def on_caller_gone(self, run: SingleRun) -> None:
         """Handle the caller's disconnect; a sent attempt continues and its outcome is recorded."""
         run.caller_served = True
         if run.stage is Stage.WAITING:
--- a/src/alderhatch/core/control/actions.py
+++ b/src/alderhatch/core/control/actions.py
@@ -73,7 +73,7 @@
     """Declare that a host leaves permanently."""
 
     host: str
-    """The host's name; for the role ``upstream`` the id of one of its servers."""
+    """The host's name; for the role ``upstream`` the ID of one of its servers."""
     role: HostRole
     upstream: str
     """The upstream's name; empty for other roles."""
--- a/src/alderhatch/core/control/change_history.py
+++ b/src/alderhatch/core/control/change_history.py
@@ -44,7 +44,7 @@
         self._history: deque[HistoryItem] = deque(maxlen=MAX_HISTORY_ITEMS)
 
     def stored_answer(self, change: Change) -> ChangeAccepted | ChangeRefused | None:
-        """Return the stored answer to a change id, marked as repeated, or None if it is new."""
+        """Return the stored answer to a change ID, marked as repeated, or None if it is new."""
         kept = self._answers.get(change.change_id)
         if kept is None:
             return None
@@ -52,7 +52,7 @@
         return answer._replace(repeated=True)
 
     def is_same_change(self, change: Change) -> bool:
-        """Return whether a known change id was used for the same change."""
+        """Return whether a known change ID was used for the same change."""
         return self._answers[change.change_id].digest == change_digest(change)
 
     def store_answer(self, change: Change, answer: ChangeAccepted | ChangeRefused) -> None:
--- a/src/alderhatch/core/control/crash_table.py
+++ b/src/alderhatch/core/control/crash_table.py
@@ -29,7 +29,7 @@
     since: Millis
     until: Millis
     servers: tuple[str, ...]
-    """The ids of the servers that crashed on the body."""
+    """The IDs of the servers that crashed on the body."""
 
 
 class CrashTable:
--- a/src/alderhatch/core/control/evicted_ids.py
+++ b/src/alderhatch/core/control/evicted_ids.py
@@ -1,4 +1,4 @@
-"""Digests of request ids whose records were dropped, to tell old ids from new ones."""
+"""Digests of request IDs whose records were dropped, to tell old IDs from new ones."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def id_digest(caller: str, request_id: str) -> int:
-    """Return a 64-bit digest of a caller's request id."""
+    """Return a 64-bit digest of a caller's request ID."""
     text = f"{len(caller)}:{caller}{request_id}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=DIGEST_BYTES).digest(), "little")
 
--- a/src/alderhatch/core/control/feed.py
+++ b/src/alderhatch/core/control/feed.py
@@ -1,4 +1,4 @@
-"""The control state as published to entries: whole, or as updates since their version."""
+"""The control state as published to entries: the whole view, or updates since their version."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 MAX_UPDATES = 512
 MAX_UPDATE_BYTES = 256 * 1024
-"""Older updates are dropped; entries that lack them get the whole view."""
+"""Limits on the updates that are kept. Older ones are dropped; entries that lack them get the whole
+view."""
 
 
 class RosterEntry(NamedTuple):
@@ -24,12 +25,13 @@
     leaving: bool
     """True once its stop is planned: callers are no longer directed to it."""
     link_address: str = ""
+    """The address for links from other entries."""
     link_port: int = 0
     """The port for links from other entries; 0 if it accepts none."""
 
 
 class LeavingServer(NamedTuple):
-    """A server that gets no new requests."""
+    """A server that gets no new requests; ``server`` is its ID."""
 
     upstream: str
     server: str
@@ -47,8 +49,11 @@
     """Replaces a range of the rule list."""
 
     start: int
+    """The index of the first replaced rule."""
     removed: int
+    """The number of replaced rules."""
     inserted: list[dict[str, Any]]
+    """The rules that take their place."""
 
 
 class SettingsPatch(NamedTuple):
@@ -72,7 +77,7 @@
 
 
 class LeavingPatch(NamedTuple):
-    """Servers that start to leave, and those that are used again."""
+    """Servers that get no new requests from now on, and those that get them again."""
 
     added: list[LeavingServer]
     returned: list[LeavingServer]
@@ -93,9 +98,13 @@
     """The patches from one version to the next."""
 
     base: int
+    """The version to which the patches apply."""
     version: int
+    """The version that they lead to."""
     revision: int
+    """The configuration's revision at that version."""
     patches: list[bytes]
+    """Each encoded by ``PATCHES``."""
 
 
 class WholeView(NamedTuple):
@@ -123,14 +132,14 @@
 def rules_patch(before: RuleList, after: RuleList) -> RulesPatch:
     """Return the smallest replacement of a single range that turns one list into another."""
     old, new = before.to_plain(), after.to_plain()
-    limit = min(len(old), len(new))
+    max_common = min(len(old), len(new))
     start = 0
-    while start < limit and old[start] == new[start]:
+    while start < max_common and old[start] == new[start]:
         start += 1
-    end = 0
-    while end < limit - start and old[-1 - end] == new[-1 - end]:
-        end += 1
-    return RulesPatch(start, len(old) - start - end, new[start : len(new) - end])
+    kept_at_end = 0
+    while kept_at_end < max_common - start and old[-1 - kept_at_end] == new[-1 - kept_at_end]:
+        kept_at_end += 1
+    return RulesPatch(start, len(old) - start - kept_at_end, new[start : len(new) - kept_at_end])
 
 
 class Feed:
@@ -140,7 +149,8 @@
         self.version = version
         """The number of published updates; never decreases."""
         self._updates: deque[tuple[int, bytes]] = deque()
-        self._bytes = 0
+        """The base version and the encoded bytes of each update that is kept."""
+        self._byte_count = 0
 
     def publish(self, revision: int, patches: Sequence[Patch]) -> None:
         """Publish the next version.
@@ -153,10 +163,10 @@
         update = Update(self.version, self.version + 1, revision, encoded)
         data = UPDATES.encode(update)
         self._updates.append((self.version, data))
-        self._bytes += len(data)
+        self._byte_count += len(data)
         self.version += 1
-        while len(self._updates) > MAX_UPDATES or self._bytes > MAX_UPDATE_BYTES:
-            self._bytes -= len(self._updates.popleft()[1])
+        while len(self._updates) > MAX_UPDATES or self._byte_count > MAX_UPDATE_BYTES:
+            self._byte_count -= len(self._updates.popleft()[1])
 
     def since(self, version: int) -> list[bytes] | None:
         """Return the updates that lead from a version to the current one.
--- a/src/alderhatch/core/control/host_table.py
+++ b/src/alderhatch/core/control/host_table.py
@@ -68,7 +68,7 @@
         self.departed: dict[str, Millis] = {}
         """The time at which each departed entry left; departed entries get no lease."""
         self.leaving_servers: dict[tuple[str, str], Millis] = {}
-        """Servers that get no new requests, with the time, by upstream and server id."""
+        """Servers that get no new requests, with the time, by upstream and server ID."""
         self.last_removal: Millis | None = None
         """When an entry was last removed; None if never."""
 
--- a/src/alderhatch/core/control/operations.py
+++ b/src/alderhatch/core/control/operations.py
@@ -64,7 +64,7 @@
     caller: str
     request_id: str
     fingerprint: str
-    """The fingerprint of the request body; another body with the same id is refused."""
+    """The fingerprint of the request body; another body with the same ID is refused."""
     entry: str
     incarnation: str
     token: str
@@ -93,7 +93,7 @@
 
     fingerprint: str
     server: str
-    """The server's id."""
+    """The server's ID."""
     entry: str
 
 
--- a/src/alderhatch/core/control/request_time.py
+++ b/src/alderhatch/core/control/request_time.py
@@ -1,4 +1,4 @@
-"""The creation time of request ids that contain it."""
+"""The creation time of request IDs that contain it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def issued_at(request_id: str) -> Millis | None:
-    """Return when a request id was created.
+    """Return when a request ID was created.
 
     Args:
-        request_id: The caller's id.
+        request_id: The caller's ID.
 
     Returns:
-        Milliseconds since 1970 by the caller's clock if the id is a version 7 UUID (RFC 9562), else
+        Milliseconds since 1970 by the caller's clock if the ID is a version 7 UUID (RFC 9562), else
         None.
     """
     try:
--- a/src/alderhatch/core/control/run_ledger.py
+++ b/src/alderhatch/core/control/run_ledger.py
@@ -27,7 +27,7 @@
     UNKNOWN = "unknown"
     """The holder's lease expired before it reported an outcome."""
     RELEASED = "released"
-    """The holder reported that no byte was sent; the id may be claimed again."""
+    """The holder reported that no byte was sent; the ID may be claimed again."""
 
 
 class LedgerKey(NamedTuple):
@@ -63,10 +63,10 @@
 
 
 class RunLedger:
-    """Records by (caller, request id), bounded in age, number and bytes.
+    """Records by (caller, request ID), bounded in age, number and bytes.
 
     A request runs only after its claim is granted, and a claim is granted to one token only. For a
-    dropped record a digest of the id is kept, so that a used id is not treated as a new one.
+    dropped record a digest of the ID is kept, so that a used ID is not treated as a new one.
     """
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         Args:
             claim: The claim.
             now: The state's time.
-            horizon: The maximum age of a request id.
+            horizon: The maximum age of a request ID.
 
         Returns:
             The answer; only ``granted`` allows the holder of the token to send the request.
@@ -105,7 +105,7 @@
                 return ClaimAnswer(ClaimStatus.IN_PROGRESS)
             case RunState.UNKNOWN if record.token == claim.token:
                 # The entry repeats this claim, so it has received no answer and sent nothing. With
-                # an unknown outcome the caller would be told that the request may have run.
+                # an unknown outcome the caller would get the answer that the request may have run.
                 self._set_in_progress(key, record)
                 return ClaimAnswer(ClaimStatus.GRANTED)
             case RunState.UNKNOWN:
@@ -138,12 +138,12 @@
         key = LedgerKey(release.caller, release.request_id)
         record = self._records.get(key)
         if record is None and self._is_too_old(key, now, horizon):
-            # Another attempt with this id may have run, and its record may have been dropped. A
-            # record created here would make the id free, and the next resend would run again.
+            # Another request with this ID may have run, and its record may have been dropped. A
+            # record created here would make the ID free, and the next resend would run again.
             return False
         if record is None:
             # The claim may still be in transit through another control host. If it were granted
-            # after this release, it would have no holder and block the id until the entry restarts.
+            # after this release, it would have no holder and block the ID until the entry restarts.
             record = RunRecord("", RunState.RELEASED, "", "", release.token, now)
             self._records[key] = record
         elif record.token != release.token:
@@ -254,7 +254,7 @@
         self._in_progress.pop(key, None)
         self._outcome_bytes -= len(record.outcome or b"")
         issued = issued_at(key.request_id)
-        # An id with a creation time past the horizon is refused by its age. Any other id would be
+        # An ID with a creation time past the horizon is refused by its age. Any other ID would be
         # treated as new without its digest, and the request would run twice.
         if issued is None or issued + horizon > now:
             self._evicted_ids.add(id_digest(*key), now)
@@ -264,8 +264,8 @@
     """Record that a claim with this token was refused.
 
     A copy of the claim may still be in transit through another control host. If it were granted
-    after the holder released its own claim, it would have no holder, and every resend would be told
-    that the request is in progress until the entry restarts.
+    after the holder released its own claim, it would have no holder, and until the entry restarts
+    every resend would get the answer that the request is in progress.
     """
     record.released = _add_token(record.released, token)
 
--- a/src/alderhatch/core/entry_core.py
+++ b/src/alderhatch/core/entry_core.py
@@ -51,7 +51,7 @@
     """Turns events into effects that the caller carries out.
 
     Args:
-        name: The entry's name; part of the ids of its shard requests.
+        name: The entry's name; part of the IDs of its shard requests.
         rng: The source of all random choices, seeded by the creator of the core.
         zone: The entry's availability zone.
         policy: The tuning parameters.
@@ -173,7 +173,7 @@
         if isinstance(run, QueryRun):
             self._fan_out.on_answer(run, attempt.state, answer)
         elif isinstance(run, SingleRun):
-            self._at_most_once.answered(run, attempt.state, answer)
+            self._at_most_once.on_attempt_answer(run, attempt.state, answer)
 
     def _on_attempt_failed(
         self, number: int, fault: AttemptFault, retry_after: Millis | None
@@ -188,7 +188,7 @@
         if isinstance(run, QueryRun):
             self._fan_out.on_failure(run, attempt.state, fault, server_id)
         elif isinstance(run, SingleRun):
-            self._at_most_once.failed(run, attempt.state, fault, server_id)
+            self._at_most_once.on_attempt_failure(run, attempt.state, fault, server_id)
 
     def _confirm_crash(self, server_id: str, restarted: bool = False) -> None:
         state = self._state
@@ -239,12 +239,12 @@
         if isinstance(run, QueryRun):
             self._fan_out.end(run)
         elif isinstance(run, SingleRun):
-            self._at_most_once.caller_gone(run)
+            self._at_most_once.on_caller_gone(run)
 
     def _on_claim_decided(self, event: ClaimDecided) -> None:
         run = self._state.runs.get(event.query)
         if isinstance(run, SingleRun):
-            self._at_most_once.decided(run, event)
+            self._at_most_once.on_claim_decided(run, event)
 
     def _resume_runs(self, ready: list[tuple[Run, ShardState]]) -> None:
         for run, shard in ready:
@@ -267,4 +267,4 @@
             elif isinstance(run, QueryRun):
                 self._fan_out.on_timer(run, timer.kind)
             elif isinstance(run, SingleRun):
-                self._at_most_once.wake(run, timer.kind)
+                self._at_most_once.on_timer_expired(run, timer.kind)
--- a/src/alderhatch/core/entry_events.py
+++ b/src/alderhatch/core/entry_events.py
@@ -70,7 +70,7 @@
     """A server's well-formed answer to a shard request."""
 
     request_id: str
-    """The shard request's id as echoed by the server."""
+    """The shard request's ID as echoed by the server."""
     shard: str
     snapshot: Snapshot
     """The snapshot that the server reports to have read."""
@@ -176,7 +176,7 @@
     serve_until: Millis
     """The time after which no new request is accepted unless the lease is renewed."""
     shares: Mapping[str, int]
-    """The number of connections that this entry may hold to each server, by server id."""
+    """The number of connections that this entry may hold to each server, by server ID."""
     quarantined: frozenset[str]
     """Fingerprints of requests that must not be sent to any upstream."""
     connections: Mapping[str, int] | None = None
@@ -210,7 +210,7 @@
     IN_PROGRESS = "in_progress"
     OUTCOME_UNKNOWN = "outcome_unknown"
     ID_REUSED = "id_reused"
-    """The id was already used with another body."""
+    """The ID was already used with another body."""
     ID_TOO_OLD = "id_too_old"
     UNAVAILABLE = "unavailable"
     """No majority answered in time; the claim may be recorded, but nothing was sent."""
@@ -257,7 +257,7 @@
     attempt: int
     """The attempt's number, unique at this entry."""
     request_id: str
-    """The id that the answer must echo."""
+    """The ID that the answer must echo."""
     upstream: str
     server_id: str
     shard: str
@@ -289,7 +289,7 @@
     caller: str
     request_id: str
     fingerprint: str
-    """A hash of the body; reuse of the id with another body is refused."""
+    """A hash of the body; reuse of the ID with another body is refused."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -319,7 +319,7 @@
     """Probe a server's health endpoint now, without waiting for the next poll.
 
     A connection to it was lost while a request ran. The health report shows whether the server
-    crashed: its boot id has changed, or it is ``unreachable`` because it refuses connections.
+    crashed: its boot ID has changed, or it is ``unreachable`` because it refuses connections.
     """
 
     server_id: str
--- a/src/alderhatch/core/fan_out.py
+++ b/src/alderhatch/core/fan_out.py
@@ -383,7 +383,7 @@
         if not run.maybe_ran:
             kind = ErrorKind.UPSTREAM_REFUSED
         elif run.covered_documents == 0 and (run.any_error_response or self._is_crash_suspect(run)):
-            # After crashes the caller is told to wait until this entry accepts the body again. By
+            # After crashes the retry-after time lasts until this entry accepts the body again. By
             # then every other entry has either received the quarantine or lost its lease; an entry
             # with neither would lose servers to the body.
             block_time = core.crashes.block_time_left(run.fingerprint, core.now)
--- a/src/alderhatch/core/forwarding/cold_start_limiter.py
+++ b/src/alderhatch/core/forwarding/cold_start_limiter.py
@@ -45,7 +45,7 @@
     so only one of them, the owner, sends anything.
     """
 
-    __slots__ = ("_sent", "allowed", "maybe_until", "owned_from", "until")
+    __slots__ = ("_sent", "allowed", "maybe_until", "owned_since", "until")
 
     def __init__(self) -> None:
         self.until: Millis = NEVER
@@ -54,15 +54,15 @@
         """The end of the time for which it may be cold although the list does not say so."""
         self.allowed: int | None = None
         """What the owner may send in a second; None for no limit."""
-        self.owned_from: Millis | None = None
-        """When this host became the owner; None if another host is."""
+        self.owned_since: Millis | None = None
+        """Since when this host is the owner; None if another host is."""
         self._sent: deque[Millis] = deque()
 
     def blocks(self, now: Millis) -> bool:
         """Return whether this host must not send a request to the server now."""
         if now >= self.until or self.allowed is None:
             return False
-        if self.owned_from is None or now < self.owned_from + TAKEOVER_DELAY:
+        if self.owned_since is None or now < self.owned_since + TAKEOVER_DELAY:
             return True
         sent = self._sent
         while sent and sent[0] <= now - RATE_WINDOW:
--- a/src/alderhatch/core/forwarding/host_demand.py
+++ b/src/alderhatch/core/forwarding/host_demand.py
@@ -19,8 +19,8 @@
 """How long a peak counts. Hosts that become active open thousands of connections; removed in each
 trough and added in each peak, they would never have warm connections."""
 ROUNDING_STEP = 1.0
-"""The demand is rounded up to multiples of this many cores, so that callers are told of few
-changes."""
+"""The demand is rounded up to multiples of this many cores, so that the hosts announced to
+callers change rarely."""
 
 
 class HostDemand:
--- a/src/alderhatch/core/forwarding/server_record.py
+++ b/src/alderhatch/core/forwarding/server_record.py
@@ -11,7 +11,7 @@
     """One running server of an upstream."""
 
     server_id: str
-    """Identifies this start of the server; a later start at the same address has a different id."""
+    """Identifies this start of the server; a later start at the same address has a different ID."""
     upstream: str
     address: str
     """An IP address."""
--- a/src/alderhatch/core/forwarding/shard_owners.py
+++ b/src/alderhatch/core/forwarding/shard_owners.py
@@ -1,4 +1,4 @@
-"""Assigns shards to the hosts that query their servers on behalf of all hosts."""
+"""Assigns each shard to one host, its owner, which queries its servers on behalf of all hosts."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class ShardOwners:
-    """Divides the shards among the strong active hosts.
+    """Divides the shards among the active hosts whose processors are strong enough.
 
     Every host computes the same assignment from the same hosts and gathers, without a message. No
-    host owns more than an even part of a gather, because the slowest share determines when the
-    answer is complete.
+    host owns more than an equal share of a gather's shards, rounded up, because the slowest share
+    determines when the answer is complete. Each upstream is one shard, identified by its name.
 
     Args:
         own_name: This host's name.
@@ -34,8 +34,10 @@
         self._gathers: tuple[tuple[str, ...], ...] = ()
         self._owners: dict[str, str] = {}
         """The assignment so far, by shard."""
-        self._owned_from: dict[str, Millis] = {}
+        self._owned_since: dict[str, Millis] = {}
+        """Since when this host owns a shard, by shard; those of other hosts are missing."""
         self._assigned_at: Millis = 0.0
+        """When the shards were last assigned."""
         self.split_since: Millis | None = None
         """Since when hosts split large gathers; None if they don't."""
         self.hosts: dict[str, HostRecord] = {}
@@ -46,15 +48,15 @@
         hosts = list(hosts)
         best = max((host.processor for host in hosts), default=0.0)
         strong = {host.name: host for host in hosts if host.processor >= STRONG_CPU_FRACTION * best}
-        is_same = strong.keys() == self.hosts.keys()
+        has_same_names = strong.keys() == self.hosts.keys()
         self.hosts = strong
-        if is_same:
+        if has_same_names:
             return False
         self._assign_owners(now)
         return True
 
     def set_gathers(self, gathers: Iterable[tuple[str, ...]], now: Millis) -> bool:
-        """Set the shards of each gather; return whether owners may have changed."""
+        """Set the names of each gather's shards; return whether owners may have changed."""
         distinct = tuple(sorted(set(gathers)))
         if distinct == self._gathers:
             return False
@@ -72,8 +74,8 @@
             self.split_since = now
         for shards in self._gathers if self.hosts else ():
             self._assign_gather(shards)
-        self._owned_from = {
-            shard: self._owned_from.get(shard, now)
+        self._owned_since = {
+            shard: self._owned_since.get(shard, now)
             for shard in owned_here
             if self.owner(shard) == self._own_name
         }
@@ -92,7 +94,7 @@
             owned[owner] += 1
 
     def owner(self, shard: str) -> str | None:
-        """Return the name of the host that owns a shard; None if there is no host."""
+        """Return the name of the host that owns a shard; None if no active host is known."""
         if not self.hosts:
             return None
         known = self._owners.get(shard)
@@ -109,8 +111,8 @@
         """Return whether a shard belongs to a gather that is split among hosts."""
         return self.split_since is not None and shard in self._owners
 
-    def owned_from(self, shard: str) -> Millis | None:
+    def owned_since(self, shard: str) -> Millis | None:
         """Return since when this host owns a shard; None if another host does."""
         if self.owner(shard) != self._own_name:
             return None
-        return self._owned_from.setdefault(shard, self._assigned_at)
+        return self._owned_since.setdefault(shard, self._assigned_at)
--- a/src/alderhatch/core/forwarding/target_table.py
+++ b/src/alderhatch/core/forwarding/target_table.py
@@ -129,19 +129,19 @@
         for upstream in self._upstreams.values():
             self._update_owner(upstream)
             for target in upstream.targets.values():
-                target.cold.owned_from = owners.owned_from(upstream.name)
+                target.cold.owned_since = owners.owned_since(upstream.name)
 
     def _update_owner(self, upstream: UpstreamTargets) -> None:
         if self._owners is not None:
             is_owned = self._owners.is_split(upstream.name)
-            upstream.owned_from = self._owners.split_since if is_owned else None
-            upstream.is_owner = self._owners.owned_from(upstream.name) is not None
+            upstream.single_owner_since = self._owners.split_since if is_owned else None
+            upstream.is_owner = self._owners.owned_since(upstream.name) is not None
 
     def _update_cold_limits(self, upstream: UpstreamTargets, target: Target) -> None:
         target.cold_span = upstream.cold_span
         target.cold.allowed = upstream.cold_rate_limit
         if self._owners is not None:
-            target.cold.owned_from = self._owners.owned_from(upstream.name)
+            target.cold.owned_since = self._owners.owned_since(upstream.name)
 
     def connections_per_server(self, upstream: UpstreamTargets) -> int:
         """Return how many connections to each server of an upstream this host may hold."""
@@ -153,7 +153,7 @@
         return connection_capacity(min(limits, default=DEFAULT_MAX_CONNECTIONS))
 
     def connection_shares(self) -> dict[str, int]:
-        """Return the connections that this host may hold, by server id."""
+        """Return the connections that this host may hold, by server ID."""
         return {
             server_id: self.connections_per_server(upstream)
             for upstream in self._upstreams.values()
@@ -292,7 +292,7 @@
             zone: The availability zone of the host that owns the shard.
 
         Returns:
-            Their ids; None if no more servers than that are staying.
+            Their IDs; None if no more servers than that are staying.
         """
         listed = self.upstream(name).targets
         targets = {server_id: one for server_id, one in listed.items() if not one.leaving}
@@ -328,7 +328,7 @@
         # A slightly later part is as good, as long as it arrives before the answer is due; traffic
         # between zones is the largest part of a request's cost.
         policy = self.policy
-        is_owned = upstream.owned_from is not None
+        is_owned = upstream.single_owner_since is not None
         factor = policy.owner_near_factor if is_owned else policy.near_factor
         other_zone_floor = factor * upstream.latencies.median
         for candidates in (not_stalled, targets):
@@ -352,8 +352,8 @@
         upstream = self.upstream(name)
         part = self._constant_fraction
         if (
-            upstream.owned_from is not None
-            and now >= upstream.owned_from + self._budget_limits.window
+            upstream.single_owner_since is not None
+            and now >= upstream.single_owner_since + self._budget_limits.window
         ):
             # Before that, the window holds requests sent by other hosts while they all queried the
             # upstream.
--- a/src/alderhatch/core/forwarding/upstream_targets.py
+++ b/src/alderhatch/core/forwarding/upstream_targets.py
@@ -23,11 +23,11 @@
         """How long its servers are cold after a start."""
         self.cold_rate_limit: int | None = None
         """What the owner may send to a cold server in a second; None for no limit."""
-        self.owned_from: Millis | None = None
-        """Since when one host queries it for all and therefore sees how each server performs; None
-        if all hosts query it."""
+        self.single_owner_since: Millis | None = None
+        """Since when one host, the owner, queries the upstream for all hosts and therefore observes
+        how each server performs; None if all hosts query it."""
         self.is_owner = False
-        """Whether this host is that one."""
+        """Whether this host is the owner."""
         self.targets: dict[str, Target] = {}
         self.latencies = LatencyHistogram(first_latency)
         self.budget = RetryBudget(limits.window)
--- a/src/alderhatch/core/raft/_progress.py
+++ b/src/alderhatch/core/raft/_progress.py
@@ -37,9 +37,9 @@
     next_index: int
     """The index of the next entry to send."""
     acked_at: Millis
-    """When the latest heartbeat round that it confirmed was sent; extends the lease."""
+    """When the latest heartbeat round confirmed by the peer was sent; extends the leader lease."""
     match_index: int = 0
-    """The last index up to which its log on disk is known to match the leader's."""
+    """The last index up to which the peer's log on disk is known to match the leader's."""
     mode: Mode = Mode.PROBE
     acked_round: int = 0
     probe_until: Millis = 0.0
@@ -79,7 +79,8 @@
         """Move the next index back after the peer rejected an append.
 
         Args:
-            prev_index: That of the rejected append; replies to outdated appends are ignored.
+            prev_index: The index before the first entry of the rejected append; replies to
+                outdated appends are ignored.
             hint: The next index that the peer suggests.
         """
         if prev_index <= self.match_index or self.mode is Mode.SNAPSHOT:
--- a/src/alderhatch/core/raft/_replicator.py
+++ b/src/alderhatch/core/raft/_replicator.py
@@ -23,13 +23,16 @@
             self.replicate(peer, now)
 
     def replicate(self, peer: str, now: Millis) -> None:
-        """Send one peer what it lacks, as far as flow control allows."""
+        """Send one peer what it lacks, as far as flow control allows.
+
+        During a snapshot transfer nothing is sent here: each chunk follows the reply to the last.
+        """
         progress = self.progress[peer]
         match progress.mode:
             case Mode.PROBE:
                 self._probe(peer, progress, now)
             case Mode.REPLICATE:
-                self._stream(peer, progress, now)
+                self._send_pipelined(peer, progress, now)
             case Mode.SNAPSHOT:
                 return
 
@@ -42,7 +45,7 @@
         progress.probe_until = now + self._state.cfg.retry
         self._send_append(peer, progress.next_index)
 
-    def _stream(self, peer: str, progress: Progress, now: Millis) -> None:
+    def _send_pipelined(self, peer: str, progress: Progress, now: Millis) -> None:
         cfg = self._state.cfg
         last = self._state.log.last_index
         while progress.next_index <= last and len(progress.inflight) < cfg.max_inflight:
@@ -57,6 +60,7 @@
         return progress.next_index <= self._state.log.base_index
 
     def _send_append(self, peer: str, first: int) -> int:
+        """Send a batch of entries that begins at an index; return the index of the last one."""
         log = self._state.log
         entries = log.batch(first, self._state.cfg.max_append_bytes)
         prev_term = log.term_at(first - 1)
@@ -67,7 +71,7 @@
         return first - 1 + len(entries)
 
     def retry_overdue(self, now: Millis) -> None:
-        """Resend what was not acknowledged in time."""
+        """Resend what was not acknowledged in time; record whether any peer receives a snapshot."""
         in_transfer = False
         for peer, progress in self.progress.items():
             if progress.is_overdue(now, self._state.cfg.retry):
@@ -76,8 +80,8 @@
         self._state.snapshot_in_transfer = in_transfer
 
     def _is_receiving_snapshot(self, progress: Progress, now: Millis) -> bool:
-        limit = now - 2 * self._state.cfg.election_timeout
-        return progress.transfer is not None and progress.acked_at > limit
+        oldest_ack = now - 2 * self._state.cfg.election_timeout
+        return progress.transfer is not None and progress.acked_at > oldest_ack
 
     def _retry(self, peer: str, progress: Progress, now: Millis) -> None:
         if progress.transfer is None:
--- a/src/alderhatch/core/request.py
+++ b/src/alderhatch/core/request.py
@@ -14,7 +14,7 @@
     """A parsed and validated request that has not been matched to a rule yet."""
 
     request_id: str
-    """The caller's id; with ``caller`` it identifies a non-idempotent request."""
+    """The caller's ID; with ``caller`` it identifies a non-idempotent request."""
     caller: str
     kind: str
     """The caller's name for the kind of request, such as ``conflict-check``; rules match on it."""
@@ -32,6 +32,6 @@
     """The time within which the caller wants the answer; None if not given."""
     key: str = ""
     """The subject of a non-idempotent request, such as a room; it selects the shard that runs it.
-    If empty, the request id selects the shard."""
+    If empty, the request ID selects the shard."""
     headers: Mapping[str, str] = field(default_factory=dict)
     """Header fields with lower-case names."""
--- a/src/alderhatch/entry/_control_session.py
+++ b/src/alderhatch/entry/_control_session.py
@@ -26,13 +26,15 @@
 ANSWER_TIMEOUT: Millis = 800.0
 """If a renewal is not answered within this time, the next control host is tried."""
 ANSWER_TIMEOUTS_PER_LEASE = 4.0
-"""Answer timeouts that fit into a lease. Limits the timeout of short leases, so that there is time
-left for another control host."""
+"""How many answer timeouts fit into a lease. For a short lease this shortens the answer timeout, so
+that there is time left for another control host."""
 FAILED_RENEWAL_INTERVAL: Millis = 100.0
+"""Delay before the next renewal after one that failed because there was no leader."""
 MAX_FAILED_RENEWALS = 10
 """Consecutive renewals without a leader after which the next control host is tried."""
 RENEWALS_PER_LEASE = 3.0
 DENIED_RENEWAL_INTERVAL: Millis = 5 * SECOND
+"""Delay before the next renewal after a grant that reported a problem."""
 
 
 class RenewalTrigger:
@@ -67,7 +69,7 @@
 
 
 class ControlSession:
-    """Renews the lease over one link until the link is unusable."""
+    """Renews the lease over one link until the next control host has to be tried."""
 
     def __init__(
         self,
@@ -92,15 +94,23 @@
         self._trigger = trigger
         self._on_change = on_change
         self._answered = trio.Event()
+        """Set when the latest renewal has been answered."""
         self._outcome: GrantOutcome | None = None
+        """The outcome of the latest renewal; None if no grant has answered it."""
         self._interval: Millis = 0.0
+        """Delay before the next renewal if there is no reason for an earlier one."""
         self._answer_timeout = ANSWER_TIMEOUT
         self._last_problem = ""
-        self._next_confirmation: Millis = 0.0
-        self._failures = 0
+        self._next_confirmation_at: Millis = 0.0
+        """When the next early renewal, which confirms updates, may be sent."""
+        self._consecutive_failures = 0
 
     async def run(self, link: Link) -> None:
-        """Renew the lease; return if the link closes or is silent, or the host finds no leader."""
+        """Renew the lease; return once the next control host has to be tried.
+
+        That is the case if the link closes or is silent, if the host finds no leader, or if control
+        has lost committed state.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read, link, nursery.cancel_scope)
             nursery.start_soon(self._batcher.send_on, link)
@@ -111,7 +121,7 @@
     async def _renew(self, link: Link) -> None:
         if self._trigger.final_answered.is_set():
             await trio.sleep_forever()
-        while self._failures < MAX_FAILED_RENEWALS:
+        while self._consecutive_failures < MAX_FAILED_RENEWALS:
             self._answered = trio.Event()
             self._outcome = None
             is_final = self._trigger.begin_renewal()
@@ -140,8 +150,10 @@
         if self._outcome is not GrantOutcome.RENEWED or not has_updates:
             return self._interval
         now = self._clock.now()
-        delay = max(0.0, self._next_confirmation - now)
-        self._next_confirmation = now + delay + min_renewal_interval(len(self._lease.view.roster))
+        delay = max(0.0, self._next_confirmation_at - now)
+        self._next_confirmation_at = (
+            now + delay + min_renewal_interval(len(self._lease.view.roster))
+        )
         return min(delay, self._interval)
 
     async def _read(self, link: Link, scope: trio.CancelScope) -> None:
@@ -156,7 +168,7 @@
             case GrantReply():
                 self._on_grant(message)
             case RenewalFailed():
-                self._failures += 1
+                self._consecutive_failures += 1
                 self._interval = FAILED_RENEWAL_INTERVAL
                 self._answered.set()
             case Nudge(version, updates) if version > self._lease.view.version:
@@ -175,7 +187,7 @@
         self._outcome = outcome
         match outcome:
             case GrantOutcome.RENEWED:
-                self._failures = 0
+                self._consecutive_failures = 0
                 lease = reply.grant.lease
                 self._interval = lease / RENEWALS_PER_LEASE
                 self._answer_timeout = min(ANSWER_TIMEOUT, lease / ANSWER_TIMEOUTS_PER_LEASE)
@@ -183,11 +195,12 @@
                 log_event(LogEvent.CONTROL_WENT_BACK, version=self._lease.view.version)
             case _:
                 self._interval = min_renewal_interval(len(self._lease.view.roster))
-                self._report_problem(reply.grant.problem)
+                self._on_problem(reply.grant.problem)
         self._answered.set()
         self._on_change()
 
-    def _report_problem(self, problem: str) -> None:
+    def _on_problem(self, problem: str) -> None:
+        """Renew less often if a grant reports a problem, and log each new problem."""
         if not problem:
             return
         self._interval = DENIED_RENEWAL_INTERVAL
--- a/src/alderhatch/entry/app.py
+++ b/src/alderhatch/entry/app.py
@@ -140,8 +140,8 @@
     cut_off = node.callers.exchanges + node.running_for_others
     await node.deregister()
     # The time to live starts when the answer reaches the caller, and other entries advertise this
-    # one until control has informed them. Meanwhile late callers are told reliably that their
-    # request did not run, and get the other addresses; a closed port would look like a lost
+    # one until control has informed them. Meanwhile late callers get the reliable answer that their
+    # request did not run, and the other addresses; a closed port would look like a lost
     # request.
     await trio.sleep(node.cfg.address_ttl_ms / SECOND)
     log_event(LogEvent.ENTRY_STOPPED, name=node.cfg.name, cut_off=cut_off)
--- a/src/alderhatch/http/connection.py
+++ b/src/alderhatch/http/connection.py
@@ -25,11 +25,11 @@
 END_OF_MESSAGE = h11.EndOfMessage()
 
 
-class _SendProgress:
-    """Whether a long request has been sent completely."""
+class _SendStatus:
+    """Whether a request that is sent while its response is read has been sent completely."""
 
     def __init__(self) -> None:
-        self.done = False
+        self.is_complete = False
 
 
 class HttpConnection:
@@ -48,7 +48,8 @@
         """Whether the peer is known to have closed the connection."""
         self.opened_at = opened_at
         self.last_progress_at = opened_at
-        """When the current exchange last received data; its owner sets it at the start."""
+        """When the current exchange last received data. The code that begins an exchange sets it to
+        the time of the start."""
 
     @property
     def alive(self) -> bool:
@@ -107,8 +108,8 @@
         """Send a request with exactly these header fields and wait for its complete response.
 
         A server may answer a long request before it has read all of it. The response is returned at
-        once and the connection becomes unusable: depending on the server, it would read what comes
-        next as the rest of the old body or as the head of a new request.
+        once and the connection becomes unusable: some servers would read the next bytes as the rest
+        of the old body, others as the head of a new request.
 
         Args:
             method: The HTTP method.
@@ -135,8 +136,8 @@
         for _ in range(MAX_STALE_REPLIES):
             if is_matching(reply):
                 break
-            has_buffered = self._prepare_next_reply(head, body)
-            reply = await self._send_and_read(b"", MAX_REPLY_BODY_BYTES, has_buffered)
+            has_buffered_bytes = self._prepare_next_reply(head, body)
+            reply = await self._send_and_read(b"", MAX_REPLY_BODY_BYTES, has_buffered_bytes)
         return reply
 
     def _prepare_next_reply(self, head: h11.Request, body: bytes) -> bool:
@@ -154,25 +155,25 @@
         return bool(buffered)
 
     async def _send_while_reading(self, data: bytes) -> HttpReply:
-        progress = _SendProgress()
+        status = _SendStatus()
         result: HttpReply | HttpExchangeError
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_concurrently, data, progress)
+            nursery.start_soon(self._send_concurrently, data, status)
             try:
                 result = await self._send_and_read(b"", MAX_REPLY_BODY_BYTES)
             except HttpExchangeError as exc:
                 result = exc
             nursery.cancel_scope.cancel()
-        if not progress.done:
+        if not status.is_complete:
             self.usable = False
         if isinstance(result, HttpExchangeError):
             raise result
         return result
 
-    async def _send_concurrently(self, data: bytes, progress: _SendProgress) -> None:
+    async def _send_concurrently(self, data: bytes, status: _SendStatus) -> None:
         try:
             await self._socket.send_all(data)
-            progress.done = True
+            status.is_complete = True
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             # The task that reads from the connection gets the same error and reports it.
             return
@@ -185,11 +186,11 @@
         self.used = True
 
     async def _send_and_read(
-        self, data: bytes, max_body: int, has_buffered: bool = False
+        self, data: bytes, max_body: int, has_buffered_bytes: bool = False
     ) -> HttpReply:
         try:
             await self._socket.send_all(data)
-            reply = await self._read_reply(max_body, has_buffered)
+            reply = await self._read_reply(max_body, has_buffered_bytes)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
             fault = self._close_fault or ExchangeFault.LOST
             self.closed_by_peer = self._close_fault is None
@@ -226,12 +227,12 @@
             data += send(h11.Data(data=body)) or b""
         return data + (send(END_OF_MESSAGE) or b"")
 
-    async def _read_reply(self, max_body: int, has_buffered: bool) -> HttpReply:
+    async def _read_reply(self, max_body: int, has_buffered_bytes: bool) -> HttpReply:
         head: h11.Response | None = None
         chunks: list[bytes] = []
         size = 0
         informational_count = 0
-        if not has_buffered:
+        if not has_buffered_bytes:
             await self._receive()
         while True:
             event = self._http.next_event()
@@ -266,6 +267,7 @@
         self._http.receive_data(data)
 
     def _prepare_reuse(self) -> None:
+        """Make the connection usable again if the exchange has ended without surplus bytes."""
         if self._http.trailing_data[0]:
             # Bytes after a complete response belong to no request. On a reused connection they
             # would be read as the next response, and a caller would get the data of another.
@@ -278,7 +280,7 @@
         """Close the connection at once; an exchange in progress on it fails.
 
         Args:
-            fault: The fault that this exchange reports, ``lost`` by default.
+            fault: The fault that the exchange in progress reports, ``lost`` by default.
         """
         self.usable = False
         self._close_fault = fault
--- a/src/alderhatch/node/hand_over_server.py
+++ b/src/alderhatch/node/hand_over_server.py
@@ -163,7 +163,7 @@
 
     async def _send_alive(self) -> None:
         # A server may take longer than the other host's silence timeout. Without these messages
-        # the other host would take this host for lost while it waits for servers.
+        # the other host would consider this host lost while it waits for servers.
         while True:
             await trio.sleep(ALIVE_INTERVAL / SECOND)
             if self._scopes:
--- a/src/alderhatch/node/host_probe.py
+++ b/src/alderhatch/node/host_probe.py
@@ -1,4 +1,4 @@
-"""Probes the hosts that callers are sent to while there is no leader to report lost hosts."""
+"""Probes the active hosts as long as there is no leader that reports lost hosts."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 async def probe_hosts(state: NodeState, has_leader: Callable[[], bool]) -> None:
-    """Probe hosts periodically while there is no leader, until cancelled.
+    """Probe hosts periodically as long as there is no leader; runs until cancelled.
 
     Args:
         state: Selects the hosts to probe and records the results.
         has_leader: Returns whether this host follows a leader now.
     """
     clock = LoopClock()
-    led_at = clock.now()
+    last_followed_at = clock.now()
     while True:
         await trio.sleep(PROBE_INTERVAL / SECOND)
         if has_leader():
-            led_at = clock.now()
-        elif clock.now() - led_at >= LEADER_SILENCE_TIMEOUT:
+            last_followed_at = clock.now()
+        elif clock.now() - last_followed_at >= LEADER_SILENCE_TIMEOUT:
             await _probe_all(state)
 
 
--- a/src/alderhatch/node/tier_server.py
+++ b/src/alderhatch/node/tier_server.py
@@ -276,7 +276,7 @@
                     session.scope.cancel()
 
     async def _update_views(self) -> None:
-        led_at: Millis | None = None
+        leading_since: Millis | None = None
         while True:
             # Also runs without an event, as the processor time needed and the members of the log
             # may have changed.
@@ -284,12 +284,12 @@
                 await self._view_due.wait()
             self._view_due = trio.Event()
             if not self.leads:
-                led_at = None
+                leading_since = None
                 self._updates.clear_view()
                 continue
             now = self._clock.now()
-            led_at = led_at or now
-            if now - led_at >= SETTLE_TIME or self._all_hosts_returned():
+            leading_since = leading_since or now
+            if now - leading_since >= SETTLE_TIME or self._all_hosts_returned():
                 self._update_view(now)
             await trio.sleep(VIEW_INTERVAL / SECOND)
 
--- a/src/alderhatch/node/tier_updates.py
+++ b/src/alderhatch/node/tier_updates.py
@@ -25,22 +25,25 @@
     number: int
     """Increases with each change."""
     records: dict[str, ServerRecord]
-    """By server id; never changed in place."""
+    """By server ID; never changed in place."""
 
 
 NO_SERVER_LIST = ServerList(0, {})
+"""Stands for no list: the leader has read none yet, or a host is sent none."""
 
 
 class HostMode(Enum):
-    """Whether a host queries servers itself or stands by."""
+    """Whether a host queries servers itself or is a standby host."""
 
     UNDECIDED = auto()
     """The host has just joined. Which hosts are needed is known only once most have joined."""
     AT_FIRST = auto()
-    """It queries servers itself until that is decided, so that a small tier starts at once."""
+    """The host has just joined too, but queries servers itself until then, so that a small tier
+    starts at once."""
     SERVES = auto()
     """It queries servers itself, as callers are sent to it now or may be soon."""
     STANDS_BY = auto()
+    """It is a standby host: it queries no servers and is sent no server list."""
 
 
 class SentState(NamedTuple):
@@ -61,7 +64,7 @@
 
     messages: list[bytes]
     told: SentState
-    """What the host was sent last, once these messages are sent."""
+    """The host's ``SentState`` once these messages are sent."""
     has_configuration: bool
     """Whether the messages include a configuration."""
 
@@ -83,11 +86,13 @@
         self._view: TierView | None = None
         self._quarantined: tuple[str, ...] = ()
         self._configuration: tuple[int, bytes] = (0, b"")
+        """The version and the message of the configuration that was encoded last."""
         self._server_messages: dict[int, bytes] = {}
         """Messages that update a host to the newest list, by the number of the list it has."""
         self._view_message = b""
         self._quarantine_message = b""
         self._standing_messages = {one: encode(Standing(one)) for one in (False, True)}
+        """Message that makes a host active (False) or a standby host (True)."""
 
     def set_servers(self, records: dict[str, ServerRecord]) -> bool:
         """Set the newest server list; return whether it changed."""
@@ -98,7 +103,7 @@
         return True
 
     def set_view(self, view: TierView) -> bool:
-        """Set the newest view of the hosts; return whether it changed."""
+        """Set the newest ``TierView``; return whether it changed."""
         if view == self._view:
             return False
         self._view = view
@@ -106,7 +111,7 @@
         return True
 
     def clear_view(self) -> None:
-        """Send no view to hosts until one is set again."""
+        """Send hosts no ``TierView`` until one is set again."""
         self._view = None
 
     def set_quarantined(self, fingerprints: list[str]) -> bool:
@@ -119,35 +124,35 @@
         return True
 
     def updates_since(
-        self, told: SentState, directives: TierDirectives, mode: HostMode
+        self, sent: SentState, directives: TierDirectives, mode: HostMode
     ) -> HostUpdates:
         """Return the messages that bring a host up to date.
 
         Args:
-            told: What the host was sent last.
+            sent: What the host was sent last.
             directives: The configuration and the evacuations that are in force.
             mode: The mode of the host.
         """
         stored, evacuations = directives
         messages: list[bytes] = []
-        if evacuations != told.evacuations:
+        if evacuations != sent.evacuations:
             # Sent before everything that lets a host serve. A host that received it later would
             # send requests to an evacuated zone in between.
             messages.append(self._encode(EvacuationNews(evacuations)))
-        has_configuration = stored.version > told.version
+        has_configuration = stored.version > sent.version
         if has_configuration:
             messages.append(self._configuration_message(stored))
         stands_by = mode is HostMode.STANDS_BY
-        if stands_by != told.stands_by:
+        if stands_by != sent.stands_by:
             messages.append(self._standing_messages[stands_by])
         servers = self._servers if mode in (HostMode.AT_FIRST, HostMode.SERVES) else NO_SERVER_LIST
-        if servers.number not in (told.servers.number, NO_SERVER_LIST.number):
-            messages.append(self._server_changes_message(told.servers))
-        if self._view is not None and self._view is not told.view:
+        if servers.number not in (sent.servers.number, NO_SERVER_LIST.number):
+            messages.append(self._server_changes_message(sent.servers))
+        if self._view is not None and self._view is not sent.view:
             messages.append(self._view_message)
-        if self._quarantined != told.refused:
+        if self._quarantined != sent.refused:
             messages.append(self._quarantine_message)
-        version = max(stored.version, told.version)
+        version = max(stored.version, sent.version)
         new_state = SentState(
             version, servers, self._view, self._quarantined, stands_by, evacuations
         )
--- a/src/alderhatch/platform/edge.py
+++ b/src/alderhatch/platform/edge.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints of a node for the platform, its callers and its operators."""
+"""HTTP endpoints of a node for the platform, for callers and for operators."""
 
 from __future__ import annotations
 
@@ -12,76 +12,78 @@
 """How long callers may cache the addresses. Some cache them three times as long, which is still
 shorter than the time for which a stopping node continues to serve."""
 RETRY_AFTER_MS = 250.0
-READINESS = "/-/readiness"
-ADDRESSES = "/-/resolve"
-CONFIGURATION = "/-/config"
-EVACUATION = "/-/evacuation/"
+READINESS_PATH = "/-/readiness"
+ADDRESSES_PATH = "/-/resolve"
+CONFIGURATION_PATH = "/-/config"
+EVACUATION_PREFIX = "/-/evacuation/"
 """Prefix of the path; the name of an availability zone follows."""
-VERSION = "version"
+VERSION_KEY = "version"
 
 
 class PlatformEdge:
-    """Answers the platform's HTTP requests from the node."""
+    """Answers HTTP requests of the platform, of callers and of operators."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     def handlers(self) -> EdgeHandlers:
-        """Return the handlers for the node's ports."""
-        return EdgeHandlers(self.caller, self.addresses, self.readiness, self.operator)
+        """Return the handlers for the node's HTTP ports."""
+        return EdgeHandlers(
+            self.handle_caller, self.handle_addresses, self.handle_readiness, self.handle_operator
+        )
 
-    async def caller(self, req: HttpRequest) -> HttpResponse:
+    async def handle_caller(self, req: HttpRequest) -> HttpResponse:
         """Answer a caller's request."""
         try:
             return await self._node.callers.handle(req)
         except AlderhatchError as exc:
             failure = exc.failure
-            # The platform would take a 422 for the denial of a request that its configuration
-            # allows, so a quarantined request is answered with 503.
+            # A quarantined request is answered with 503. The platform would interpret a 422 as the
+            # denial of a request that its configuration allows.
             is_quarantined = failure.kind is ErrorKind.QUARANTINED
             if is_quarantined or failure.answer.status in (429, 503):
                 return refusal_response(503, failure.kind, failure.retry_after_ms or RETRY_AFTER_MS)
             return failure_response(failure)
 
-    async def addresses(self, req: HttpRequest) -> HttpResponse:
+    async def handle_addresses(self, req: HttpRequest) -> HttpResponse:
         """Return the addresses that a caller should send requests to."""
-        if req.path != ADDRESSES:
+        if req.path != ADDRESSES_PATH:
             return _not_found(req)
         addresses_found = self._node.callers.addresses(req.query.get("zone", ""))
         if not addresses_found:
             return refusal_response(503, "no host is serving requests yet", RETRY_AFTER_MS)
         return json_response(200, {"addrs": addresses_found, "ttl_s": ADDRESSES_TTL_S})
 
-    async def readiness(self, req: HttpRequest) -> HttpResponse:
+    async def handle_readiness(self, req: HttpRequest) -> HttpResponse:
         """Report whether this node accepts requests of callers."""
-        if req.path != READINESS:
+        if req.path != READINESS_PATH:
             return _not_found(req)
         return json_response(200 if self._node.ready else 503, {})
 
-    async def operator(self, req: HttpRequest) -> HttpResponse:
+    async def handle_operator(self, req: HttpRequest) -> HttpResponse:
         """Change or return the configuration, or start or end the evacuation of a zone."""
-        if req.path.startswith(EVACUATION):
-            return await self._evacuation(req)
-        if req.path != CONFIGURATION:
+        if req.path.startswith(EVACUATION_PREFIX):
+            return await self._change_evacuation(req)
+        if req.path != CONFIGURATION_PATH:
             return _not_found(req)
         match req.method:
             case "PUT":
-                return await self._put(req)
+                return await self._put_configuration(req)
             case "GET":
-                return await self._get()
+                return await self._get_configuration()
             case _:
                 return _not_found(req)
 
-    async def _put(self, req: HttpRequest) -> HttpResponse:
+    async def _put_configuration(self, req: HttpRequest) -> HttpResponse:
         cfg = decode_configuration(req.body)
         try:
-            in_force = await self._node.configuration_service.put(cfg.version, req.body)
+            version_in_force = await self._node.configuration_service.put(cfg.version, req.body)
         except AlderhatchError as exc:
             return self._redirect_to_leader(exc, req.path)
-        return json_response(200, {VERSION: in_force})
+        return json_response(200, {VERSION_KEY: version_in_force})
 
-    async def _evacuation(self, req: HttpRequest) -> HttpResponse:
-        zone = req.path.removeprefix(EVACUATION)
+    async def _change_evacuation(self, req: HttpRequest) -> HttpResponse:
+        zone = req.path.removeprefix(EVACUATION_PREFIX)
         zones = self._node.cfg.zones
         if req.method not in ("POST", "DELETE"):
             return _not_found(req)
@@ -98,11 +100,11 @@
         not_evacuated = sorted(zones - set(evacuated))
         return json_response(200, {"evacuated": list(evacuated), "left": not_evacuated})
 
-    async def _get(self) -> HttpResponse:
+    async def _get_configuration(self) -> HttpResponse:
         try:
             stored = await self._node.configuration_service.read()
         except AlderhatchError as exc:
-            return self._redirect_to_leader(exc, CONFIGURATION)
+            return self._redirect_to_leader(exc, CONFIGURATION_PATH)
         if stored.version == 0:
             return refusal_response(503, "no configuration has been stored yet", RETRY_AFTER_MS)
         return HttpResponse(200, stored.document)
