--- a/features/entry_world.py
+++ b/features/entry_world.py
@@ -246,10 +246,10 @@
         while not condition():
             await trio.sleep(0.005)
 
-    async def nap(self, seconds):
+    async def sleep_for(self, seconds):
         await trio.sleep(seconds)
 
-    async def raw(self, port, pieces, pause_s=0.0, read=True):
+    async def send_raw(self, port, pieces, pause_s=0.0, read=True):
         """Send bytes as they are and return what comes back until the other end closes."""
         stream = await trio.open_tcp_stream(LOOPBACK, port)
         received = b""
--- a/features/steps/caller_addresses_steps.py
+++ b/features/steps/caller_addresses_steps.py
@@ -55,7 +55,7 @@
             body = orjson.loads(reply.body)
             if [row["port"] for row in body["addresses"]] == expected:
                 return body
-            await harness.nap(0.01)
+            await harness.sleep_for(0.01)
 
     assert harness.call(listed)["ttl_ms"] == harness.entries[0].cfg.address_ttl_ms
 
--- a/features/steps/caller_input_steps.py
+++ b/features/steps/caller_input_steps.py
@@ -107,7 +107,7 @@
 def step_send(context, input_name):
     harness = world(context)
     chunks, pause = _chunks(input_name)
-    context.caller_bytes = harness.call(harness.raw, harness.entries[0].port, chunks, pause)
+    context.caller_bytes = harness.call(harness.send_raw, harness.entries[0].port, chunks, pause)
 
 
 @then('the caller of the entry is answered {status:d} with "{error}" and "{ran}"')
--- a/features/steps/entry_control_steps.py
+++ b/features/steps/entry_control_steps.py
@@ -32,7 +32,7 @@
     for _ in range(count):
         harness.call(harness.start_entry)
         harness.call(_until_may_serve, harness)
-    harness.call(harness.nap, 0.5)
+    harness.call(harness.sleep_for, 0.5)
 
 
 async def _send_booking(harness, entry, booking):
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -126,7 +126,7 @@
     here = world(context)
     for owners in (first, second, third):
         here.call(_change_owners, here, owners)
-        here.call(here.nap, 0.3)
+        here.call(here.sleep_for, 0.3)
 
 
 @given("callers use all entries except the last without a pause")
--- a/features/steps/upstream_faults_steps.py
+++ b/features/steps/upstream_faults_steps.py
@@ -71,7 +71,7 @@
 @given("the entry has received the health of each server")
 def step_health_received(context):
     here = world(context)
-    here.call(here.nap, 3 * here.entries[0].cfg.upstreams[0].health_poll_ms / 1000)
+    here.call(here.sleep_for, 3 * here.entries[0].cfg.upstreams[0].health_poll_ms / 1000)
 
 
 @given("the entry was asked {count:d} times")
