--- a/tools/run_features.py
+++ b/tools/run_features.py
@@ -1,10 +1,11 @@
-"""Run every behave feature, a few at a time, and close with the real counts.
+"""Run behave features in parallel and print the number of passed and failed scenarios.
 
-Each feature file runs in a behave process of its own, so that no feature depends on what another
-left behind. The scenarios listed in ``KNOWN-RED.txt`` are run and printed, but do not decide the
-exit code; one that passes again is reported as a fault, so that the list stays true.
+Each feature file runs in its own behave process, so that no feature depends on the state of
+another. Failures of the scenarios listed in ``KNOWN-RED.txt`` are printed but do not affect the
+exit code. A listed scenario that passes counts as a failure, so that the list stays up to date.
 
-The last line printed is ``N passed, N failed``, with ``, N skipped`` for the known red ones.
+The last line printed is ``N passed, N failed``, followed by ``, N skipped`` if known failures
+occurred.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from typing import Any, NamedTuple
 
 ROOT = Path(__file__).resolve().parent.parent
-KNOWN_RED = ROOT / "KNOWN-RED.txt"
-WORKERS = 4
+KNOWN_FAILURES_FILE = ROOT / "KNOWN-RED.txt"
+MAX_WORKERS = 4
 FEATURE_TIMEOUT_S = 900
 
 
 class FeatureResult(NamedTuple):
-    """What one feature file gave."""
+    """The result of running one feature file."""
 
     path: Path
     passed: list[str]
@@ -35,13 +36,13 @@
 
 
 def scenario_outcomes(report: list[dict[str, Any]]) -> tuple[list[str], list[str]]:
-    """Split the scenarios of a behave JSON report into passed and failed names.
+    """Return the names of the passed and of the failed scenarios of a behave JSON report.
 
     Args:
-        report: The parsed report: a list of features with their elements.
+        report: The parsed report, a list of features with their elements.
 
     Returns:
-        The names that passed and the names that did not, whatever the reason.
+        The names of the scenarios that passed, and the names of all others.
     """
     passed: list[str] = []
     failed: list[str] = []
@@ -49,19 +50,19 @@
         for element in feature.get("elements", []):
             if element["type"] == "background":
                 continue
-            wanted = passed if element.get("status") == "passed" else failed
-            wanted.append(element["name"])
+            outcome_names = passed if element.get("status") == "passed" else failed
+            outcome_names.append(element["name"])
     return passed, failed
 
 
 def run_feature(path: Path) -> FeatureResult:
-    """Run one feature file in a behave process of its own."""
-    with tempfile.TemporaryDirectory() as folder:
-        report_path = Path(folder) / "report.json"
+    """Run one feature file in its own behave process."""
+    with tempfile.TemporaryDirectory() as temp_dir:
+        report_path = Path(temp_dir) / "report.json"
         command = [sys.executable, "-m", "behave", "--no-color", "--no-summary"]
         command += ["-f", "json", "-o", str(report_path), "-f", "plain", str(path)]
         try:
-            done = subprocess.run(
+            process = subprocess.run(
                 command,
                 cwd=ROOT,
                 stdout=subprocess.PIPE,
@@ -75,45 +76,45 @@
         try:
             report = json.loads(report_path.read_text())
         except (OSError, ValueError):
-            return FeatureResult(path, [], [f"{path.name}: no report"], done.stdout, 1)
+            return FeatureResult(path, [], [f"{path.name}: no report"], process.stdout, 1)
     passed, failed = scenario_outcomes(report)
-    if done.returncode and not failed:
-        failed = [f"{path.name}: behave exited with {done.returncode}"]
-    return FeatureResult(path, passed, failed, done.stdout, done.returncode)
+    if process.returncode and not failed:
+        failed = [f"{path.name}: behave exited with {process.returncode}"]
+    return FeatureResult(path, passed, failed, process.stdout, process.returncode)
 
 
-def known_red() -> list[str]:
-    """Read the scenario names of KNOWN-RED.txt: what stands before the first ``|`` of a line."""
-    if not KNOWN_RED.exists():
+def known_failures() -> list[str]:
+    """Return the scenario names of KNOWN-RED.txt, the text before the first ``|`` of each line."""
+    if not KNOWN_FAILURES_FILE.exists():
         return []
-    lines = (line.strip() for line in KNOWN_RED.read_text().splitlines())
+    lines = (line.strip() for line in KNOWN_FAILURES_FILE.read_text().splitlines())
     return [line.split("|")[0].strip() for line in lines if line and not line.startswith("#")]
 
 
 def main() -> int:
-    """Run the features named on the command line, or all of them; return the exit code."""
+    """Run the features named on the command line, or all features, and return the exit code."""
     paths = [Path(name).resolve() for name in sys.argv[1:]]
     paths = paths or sorted((ROOT / "features").glob("**/*.feature"))
-    with ThreadPoolExecutor(WORKERS) as pool:
+    with ThreadPoolExecutor(MAX_WORKERS) as pool:
         results = list(pool.map(run_feature, paths))
-    red = known_red()
+    known = known_failures()
     passed = [name for result in results for name in result.passed]
     failed = [name for result in results for name in result.failed]
     for result in results:
         print(f"{result.path.name}: {len(result.passed)} passed, {len(result.failed)} failed")
         if result.failed:
             print(result.output)
-    unknown = [name for name in failed if name not in red]
+    unexpected = [name for name in failed if name not in known]
     for name in failed:
-        print(f"{'known red' if name in red else 'FAILED'}: {name}")
-    mended = [name for name in red if name in passed and name not in failed]
-    for name in mended:
+        print(f"{'known red' if name in known else 'FAILED'}: {name}")
+    now_passing = [name for name in known if name in passed and name not in failed]
+    for name in now_passing:
         print(f"FAILED: listed in KNOWN-RED.txt, but passes: {name}")
-    bad = len(unknown) + len(mended)
-    skipped = len(failed) - len(unknown)
-    line = f"{len(passed) - len(mended)} passed, {bad} failed"
-    print(line + (f", {skipped} skipped" if skipped else ""))
-    return 1 if bad or not passed else 0
+    failure_count = len(unexpected) + len(now_passing)
+    known_count = len(failed) - len(unexpected)
+    summary = f"{len(passed) - len(now_passing)} passed, {failure_count} failed"
+    print(summary + (f", {known_count} skipped" if known_count else ""))
+    return 1 if failure_count or not passed else 0
 
 
 if __name__ == "__main__":
--- a/tools/run_soak.py
+++ b/tools/run_soak.py
@@ -1,9 +1,9 @@
-"""Runs seeds of the platform soak, a few at a time.
+"""Run the platform soak test with several seeds in parallel.
 
     python tools/run_soak.py FIRST COUNT [SECONDS]
 
-Each seed is a process of its own. A seed that broke a promise is printed with what was found, and
-the logs of its nodes are kept.
+Each seed runs in its own process. The output of each seed is printed. For a seed that violates a
+guarantee it lists the violations, and the logs of the nodes are kept.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-WORKERS = 4
-DEFAULT_SECONDS = 12
-ONE_SEED = """
+MAX_WORKERS = 4
+DEFAULT_DURATION_S = 12
+RUN_SEED_CODE = """
 import sys
 from features.support.platform_soak import run_seed
 sys.exit(run_seed(int(sys.argv[1]), float(sys.argv[2])))
 """
 
 
-def run_one(seed: int, seconds: float) -> tuple[int, int, str]:
-    """Run one seed; return it with its exit code and what it printed."""
-    command = [sys.executable, "-c", ONE_SEED, str(seed), str(seconds)]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-    return seed, done.returncode, done.stdout + done.stderr
+def run_seed_process(seed: int, duration_s: float) -> tuple[int, int, str]:
+    """Run one seed and return the seed, its exit code and its output."""
+    command = [sys.executable, "-c", RUN_SEED_CODE, str(seed), str(duration_s)]
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    return seed, process.returncode, process.stdout + process.stderr
 
 
 def main() -> int:
-    """Run all seeds; return 1 if any broke a promise."""
+    """Run all seeds and return 1 if any of them violated a guarantee."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
-    seconds = float(sys.argv[3]) if len(sys.argv) > 3 else DEFAULT_SECONDS
+    duration_s = float(sys.argv[3]) if len(sys.argv) > 3 else DEFAULT_DURATION_S
     failed = 0
-    with ThreadPoolExecutor(WORKERS) as pool:
-        for seed, code, output in pool.map(
-            lambda seed: run_one(seed, seconds), range(first, first + count)
+    with ThreadPoolExecutor(MAX_WORKERS) as pool:
+        for seed, exit_code, output in pool.map(
+            lambda seed: run_seed_process(seed, duration_s), range(first, first + count)
         ):
-            failed += code != 0
+            failed += exit_code != 0
             print(f"seed {seed}: {output.strip()}", flush=True)
-    print(f"{count - failed} seeds kept every promise, {failed} did not")
+    print(f"{count - failed} seeds passed, {failed} failed")
     return 1 if failed else 0
 
 
--- a/tools/write_catalogues.py
+++ b/tools/write_catalogues.py
@@ -1,8 +1,8 @@
-"""Write the pages of docs/ that show closed lists of the code.
+"""Generate the reference pages in docs/ from the code.
 
-Run it after a change to one of the lists: ``make catalogues``. A test compares the pages with what
-this program would write, so that a page never tells of an event, metric or kind of error that is
-not there, or leaves one out.
+The pages list commands, errors, log events, metrics and settings. Run ``make catalogues`` after a
+change to any of them. A test compares the pages with the output of this program, so that no page
+lists an item that does not exist or omits one.
 """
 
 from __future__ import annotations
@@ -39,18 +39,18 @@
 )
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
-WRITTEN_BY = "This page is written by `make catalogues` from the code; don't edit it by hand."
+GENERATED_NOTICE = "This page is generated from the code by `make catalogues`; do not edit it."
 
-RAN_WORDS = {
-    RunStatus.NOT_RUN: "no: it certainly did not",
+RUN_STATUS_TEXTS = {
+    RunStatus.NOT_RUN: "no, guaranteed",
     RunStatus.RAN: "yes",
-    RunStatus.UNKNOWN: "not known",
+    RunStatus.UNKNOWN: "unknown",
 }
-RESEND_WORDS = {
-    Resend.NEVER: "no: the same request fails again",
-    Resend.SAME_ENTRY: "yes, to the same address, after `retry_after_ms` if it is given",
-    Resend.OTHER_ENTRY: "yes, to another of the addresses, at once",
-    Resend.SAME_ID: "yes, with the same request id or change id, at any address",
+RESEND_TEXTS = {
+    Resend.NEVER: "no, the same request fails again",
+    Resend.SAME_ENTRY: "yes, to the same address, after `retry_after_ms` if present",
+    Resend.OTHER_ENTRY: "yes, to another address, immediately",
+    Resend.SAME_ID: "yes, with the same request ID or change ID, to any address",
 }
 
 
@@ -67,28 +67,28 @@
 
 
 def errors_page() -> str:
-    """Return docs/ERRORS.md."""
+    """Return the content of docs/ERRORS.md."""
     rows = [
         (
             f"`{kind}`",
             str(answer.status),
-            RAN_WORDS[answer.ran],
-            RESEND_WORDS[answer.resend],
+            RUN_STATUS_TEXTS[answer.ran],
+            RESEND_TEXTS[answer.resend],
             answer.meaning,
         )
         for kind, answer in ERROR_ANSWERS.items()
     ]
     return _page(
-        "Kinds of error",
-        "Every refusal and failure that a caller, an operator or one of our own processes is shown "
-        "has one of these kinds. The body of the answer has it in `error`, with `message`, `ran`, "
-        "`resend` and, where they apply, `field` and `retry_after_ms`.",
-        table(("kind", "status", "did it run", "send it again", "meaning"), rows),
+        "Error kinds",
+        "Every error that is returned to a caller, an operator or another alderhatch process has "
+        "one of these kinds. The response body contains the kind in `error`, together with "
+        "`message`, `ran`, `resend` and, where applicable, `field` and `retry_after_ms`.",
+        table(("kind", "HTTP status", "request ran", "resend", "meaning"), rows),
     )
 
 
 def events_page() -> str:
-    """Return docs/EVENTS.md."""
+    """Return the content of docs/EVENTS.md."""
     rows = [
         (
             str(event.number),
@@ -100,17 +100,17 @@
     ]
     return _page(
         "Log events",
-        "Each line of a log is one JSON object with `time`, `level`, `event`, `number`, `program` "
-        "and `fields`. Numbers are never used again. 1000s belong to the entry, 2000s to the "
-        "control process, 3000s to the replicated log and its files, 4000s to links between "
-        "processes, 5000s to settings and programs. Secrets, keys and request bodies are never "
-        "logged.",
+        "Each log line is a JSON object with `time`, `level`, `event`, `number`, `program` and "
+        "`fields`. Numbers are never reused. Their ranges are 1000 to 1999 for the entry, 2000 to "
+        "2999 for the control process, 3000 to 3999 for the replicated log and its files, 4000 to "
+        "4999 for links between processes, and 5000 to 5999 for settings and programs. Secrets, "
+        "keys and request bodies are never logged.",
         table(("number", "event", "level", "meaning"), rows),
     )
 
 
 def metrics_page() -> str:
-    """Return docs/METRICS.md."""
+    """Return the content of docs/METRICS.md."""
     rows = [
         (
             f"`{metric.value.name}`",
@@ -123,16 +123,16 @@
     ]
     return _page(
         "Metrics",
-        "Each process shows its metrics in Prometheus' text format at `GET /metrics` of its "
-        "`operators` address. Every metric also has the label `process`, the name from the "
-        "settings. At most 2000 label combinations of one metric are kept; further ones are "
-        "counted together as `other`.",
+        "Each process exposes its metrics in the Prometheus text format at `GET /metrics` on its "
+        "`operators` address. Every metric also has the label `process` with the name of the "
+        "process from its settings. At most 2000 label combinations are kept for each metric; "
+        "further combinations are counted together as `other`.",
         table(("metric", "kind", "unit", "labels", "meaning"), rows),
     )
 
 
 def settings_page() -> str:
-    """Return docs/SETTINGS.md."""
+    """Return the content of docs/SETTINGS.md."""
     lines: list[str] = []
     for title, model in (
         ("`alderhatch-entry`", EntrySettings),
@@ -141,32 +141,36 @@
         ("`[limits]` of an entry", CallerLimits),
         ("An endpoint, such as `[callers]`, `[operators]`, `[links]` or a seed", Endpoint),
         ("A named endpoint, such as `[[controls]]` or `[[peers]]`", NamedEndpoint),
-        ("`[tier]` of a declaration: settings that hold for the whole tier", TierSettings),
+        ("`[tier]` of a declaration: settings that apply to the whole tier", TierSettings),
         ("`[[rule]]` of a declaration", Rule),
-        ("`[rule.when]`: conditions, all of which have to hold", When),
+        ("`[rule.when]`: conditions, all of which must hold", When),
         ("An element of `headers`: exactly one of `equals` and `prefix`", HeaderMatch),
-        ("`[rule.then]` of a rule that serves", Serve),
-        ("`[rule.then]` of a rule that refuses", Refuse),
+        ("`[rule.then]` of a rule that serves requests", Serve),
+        ("`[rule.then]` of a rule that refuses requests", Refuse),
     ):
-        lines += [f"## {title}", "", *table(("key", "allowed", "default", "meaning"), _keys(model))]
+        lines += [
+            f"## {title}",
+            "",
+            *table(("key", "allowed", "default", "meaning"), _setting_rows(model)),
+        ]
         lines.append("")
     return _page(
         "Settings",
-        "Settings and declarations are TOML. Unknown keys are mistakes. Spans end in `_ms` and are "
-        "in milliseconds. Paths are relative to the folder of the file. In `[rule.when]` one word "
-        "may stand for a list of one. `alderhatchctl check FILE` reports every mistake with its "
-        "line.",
+        "Settings and declarations are TOML files. Unknown keys are errors. Keys that end in `_ms` "
+        "are durations in milliseconds. Paths are relative to the folder of the file. In "
+        "`[rule.when]` a single string may replace a list with one element. "
+        "`alderhatchctl check FILE` reports every error with its line.",
         lines[:-1],
     )
 
 
-def _keys(model: type[Any]) -> Iterator[tuple[str, str, str, str]]:
+def _setting_rows(model: type[Any]) -> Iterator[tuple[str, str, str, str]]:
     schema = TypeAdapter(model).json_schema()
     allowed = AllowedValues(schema)
     docs = attribute_docs(model)
     required = set(schema.get("required", ()))
     for name in _field_names(model):
-        default = "required" if name in required else _default(schema["properties"][name])
+        default = "required" if name in required else _format_default(schema["properties"][name])
         meaning = docs.get(name, "").replace("``", "`")
         yield f"`{name}`", allowed.describe((name,)), default, meaning
 
@@ -176,10 +180,10 @@
         return list(model.model_fields)
     if is_dataclass(model):
         return [field.name for field in fields(model)]
-    raise TypeError(f"no model: {model}")
+    raise TypeError(f"expected a pydantic model or a dataclass, got {model}")
 
 
-def _default(field: dict[str, Any]) -> str:
+def _format_default(field: dict[str, Any]) -> str:
     value = field.get("default")
     match value:
         case None | []:
@@ -189,12 +193,12 @@
         case float():
             return f"{value:g}" if value < 1e6 else f"{value:.0f}"
         case dict():
-            return "as below"
+            return "see below"
     return str(value)
 
 
 def commands_page() -> str:
-    """Return docs/COMMANDS.md."""
+    """Return the content of docs/COMMANDS.md."""
     lines = ["## Exit codes", ""]
     lines += table(("code", "meaning"), [(str(code.value), code.meaning) for code in ExitCode])
     for name, app in (
@@ -204,22 +208,22 @@
         ("alderhatch-demo", demo.app),
         ("alderhatchctl", ctl.app),
     ):
-        for path, command in _walk(typer.main.get_command(app), name):
+        for path, command in _documented_commands(typer.main.get_command(app), name):
             lines += ["", f"## `{path}`", "", *_command_lines(command)]
     return _page(
         "Commands",
-        "Every program prints the same with `--help`. All but the demo complete their words in the "
-        "shell after `--install-completion`.",
+        "Every program prints its commands and options with `--help`. All programs except the demo "
+        "support shell completion after `--install-completion`.",
         lines,
     )
 
 
-def _walk(command: Any, path: str) -> Iterator[tuple[str, Any]]:
+def _documented_commands(command: Any, path: str) -> Iterator[tuple[str, Any]]:
     if hasattr(command, "commands"):
         if command.params:
             yield path, command
-        for name, inner in command.commands.items():
-            yield from _walk(inner, f"{path} {name}")
+        for name, subcommand in command.commands.items():
+            yield from _documented_commands(subcommand, f"{path} {name}")
         return
     yield path, command
 
@@ -228,21 +232,21 @@
     yield (command.help or "").split("\n")[0]
     rows = []
     for param in command.params:
-        words = "/".join([*param.opts, *param.secondary_opts])
+        display_name = "/".join([*param.opts, *param.secondary_opts])
         if isinstance(param, click.Argument) or param.param_type_name == "argument":
-            words = param.metavar or param.name
-        rows.append((f"`{words}`", getattr(param, "help", "") or ""))
+            display_name = param.metavar or param.name
+        rows.append((f"`{display_name}`", getattr(param, "help", "") or ""))
     if rows:
         yield ""
-        yield from table(("word", "meaning"), rows)
+        yield from table(("argument or option", "meaning"), rows)
 
 
-def _page(title: str, opening: str, body: Iterable[str]) -> str:
-    return "\n".join([f"# {title}", "", WRITTEN_BY, "", opening, "", *body]) + "\n"
+def _page(title: str, intro: str, body: Iterable[str]) -> str:
+    return "\n".join([f"# {title}", "", GENERATED_NOTICE, "", intro, "", *body]) + "\n"
 
 
 def pages() -> dict[Path, str]:
-    """Return every page with the path where it belongs."""
+    """Return the content of every generated page by its path."""
     return {
         DOCS / "COMMANDS.md": commands_page(),
         DOCS / "ERRORS.md": errors_page(),
@@ -253,7 +257,7 @@
 
 
 def main() -> None:
-    """Write all pages."""
+    """Write all generated pages."""
     for path, text in pages().items():
         path.write_text(text)
 
