--- a/features/docs_catalogues.feature
+++ b/features/docs_catalogues.feature
@@ -1,9 +1,9 @@
-Feature: The pages of closed lists are equal to the code
+Feature: The generated reference pages agree with the code
 
-  Scenario Outline: A page shows what the code has
-    # Somebody adds a log event or an error kind and forgets its page. On call, at night, a number in
-    # a log then stands nowhere. "make catalogues" writes the pages anew.
-    Then the catalogue page "<page>" is what the code gives
+  Scenario Outline: A generated page is up to date
+    # Guards against a log event or an error kind that is added without its page. An operator could
+    # then not look up a number from a log. "make catalogues" generates the pages.
+    Then the catalogue page "<page>" equals the output of the generator
 
     Examples:
       | page        |
@@ -13,11 +13,11 @@
       | METRICS.md  |
       | SETTINGS.md |
 
-  Scenario: Numbers of log events are unique and in the range of their part
+  Scenario: Numbers of log events are unique and in a known range
     Then no two log events have the same number and each is in a known range
 
-  Scenario: Every metric of the catalogue is set somewhere in the code
+  Scenario: Every metric of the catalogue is used in the code
     Then each metric of the catalogue is used in the code
 
-  Scenario: Links between the pages lead somewhere
-    Then each relative link in the catalogue of docs leads to a file that exists
+  Scenario: Relative links in the documentation point to existing files
+    Then each relative link in the documentation points to a file that exists
--- a/features/docs_commands.feature
+++ b/features/docs_commands.feature
@@ -1,6 +1,6 @@
-Feature: The commands that the pages show exist
+Feature: Commands in the documentation exist
 
-  Scenario: Every alderhatchctl command line of the pages is one that the program takes
-    # A page for a night on call names a command or an option that was renamed. Whoever follows it
-    # loses minutes, or tries something else.
-    Then each alderhatchctl command line in the pages names a command and options that exist
+  Scenario: Every alderhatchctl command line in the documentation names an existing command
+    # Guards against a page that still names a command or an option after it was renamed. An
+    # operator who follows the page during an incident loses time.
+    Then each alderhatchctl command line in the documentation names a command and options that exist
--- a/features/docs_guarantees.feature
+++ b/features/docs_guarantees.feature
@@ -1,4 +1,4 @@
-Feature: The page of guarantees names tests that exist
+Feature: Features named by the guarantees page exist
 
-  Scenario: Each feature that the page names is there
-    Then each feature named by the page of guarantees exists
+  Scenario: Each feature named by the guarantees page exists
+    Then each feature named by docs/GUARANTEES.md exists
--- a/features/entry_world.py
+++ b/features/entry_world.py
@@ -1,4 +1,4 @@
-"""A loop in a thread with stand-in upstreams and entries, for steps to call into."""
+"""A test harness that runs a stand-in upstream and entries in a trio loop in another thread."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from features.support.loop_thread import LoopThread
 
 LOOPBACK = "127.0.0.1"
-NOWHERE = Endpoint(address=LOOPBACK, port=0)
-PATIENCE_S = 60
+EPHEMERAL_ENDPOINT = Endpoint(address=LOOPBACK, port=0)
+CALL_TIMEOUT_S = 60
 ZONES = ("austin-hall", "waco-hall")
 
 
 class EntryWorld:
-    """Runs trio in a thread of its own; ``call`` runs one coroutine function in that loop."""
+    """Runs a trio loop in its own thread; ``call`` runs a coroutine function in that loop."""
 
     def __init__(self):
         self.upstream = None
@@ -47,11 +47,11 @@
         self._nursery = self._loop.nursery
 
     def call(self, function, *args):
-        async def patiently():
-            with trio.fail_after(PATIENCE_S):
+        async def with_timeout():
+            with trio.fail_after(CALL_TIMEOUT_S):
                 return await function(*args)
 
-        return self._loop.call(patiently)
+        return self._loop.call(with_timeout)
 
     def close(self):
         self._loop.close()
@@ -73,10 +73,10 @@
 
     async def start_controls(self, count):
         self._folder = tempfile.TemporaryDirectory()
-        names = [f"control-{number + 1}" for number in range(count)]
+        host_names = [f"control-{number + 1}" for number in range(count)]
         lease = self.settings.get("lease_ms", LEASE)
-        self.controls = ControlTier(self._nursery, self._folder.name, names, 1000, lease)
-        for name in names:
+        self.controls = ControlTier(self._nursery, self._folder.name, host_names, 1000, lease)
+        for name in host_names:
             await self.controls.start_control(name)
         await self.controls.leader()
 
@@ -104,8 +104,8 @@
         cfg = EntrySettings(
             name=f"entry-{number + 1}",
             zone=self.settings.get("zone", ZONES[number % len(ZONES)]),
-            callers=NOWHERE,
-            operators=NOWHERE,
+            callers=EPHEMERAL_ENDPOINT,
+            operators=EPHEMERAL_ENDPOINT,
             upstreams=(upstream,),
             platform=platform,
             platform_poll_ms=50,
@@ -114,7 +114,7 @@
             connections_per_server=self.settings.get("connections_per_server", 2),
             progress_timeout_ms=self.settings.get("progress_timeout_ms", 600),
             limits=CallerLimits(**self.settings.get("limits", {})),
-            links=NOWHERE if self.settings.get("links") else None,
+            links=EPHEMERAL_ENDPOINT if self.settings.get("links") else None,
         )
         make_control = None
         if self.controls is not None:
@@ -139,7 +139,7 @@
     def _share_roster(self):
         if self.controls is not None:
             return
-        roster = [EntryAddress(LOOPBACK, item.port, item.cfg.zone) for item in self.entries]
+        roster = [EntryAddress(LOOPBACK, node.port, node.cfg.zone) for node in self.entries]
         for entry in self.entries:
             entry.set_roster(roster)
 
@@ -157,12 +157,12 @@
         self._share_roster()
 
     async def stop_entry(self, number):
-        """Stop an entry as control does: the others learn of it, then it goes through its stop."""
+        """Stop an entry as control does: mark it as leaving in all rosters, then run its stop."""
         port = self.entries[number].port
         for entry in self.entries:
             entry.set_roster(
-                item._replace(leaving=item.leaving or item.port == port)
-                for item in entry.addresses.roster
+                listed._replace(leaving=listed.leaving or listed.port == port)
+                for listed in entry.addresses.roster
             )
         await planned_stop(self.entries[number])
         self.scopes[number].cancel()
@@ -185,16 +185,16 @@
     async def queries_at_once(self, count, entry=0):
         replies = []
 
-        async def one():
+        async def send_query():
             replies.append(await self.query(entry))
 
         async with trio.open_nursery() as nursery:
             for _ in range(count):
-                nursery.start_soon(one)
+                nursery.start_soon(send_query)
         return replies
 
-    async def load(self, task_status=trio.TASK_STATUS_IGNORED, callers=4):
-        """Send queries to every entry until the scope that is given as started is cancelled."""
+    async def run_load(self, task_status=trio.TASK_STATUS_IGNORED, callers=4):
+        """Send queries to all entries until the event passed to ``started`` is set."""
         scope = trio.CancelScope()
         counts = {"right": 0, "elsewhere": 0, "wrong": [], "broken": []}
 
@@ -227,7 +227,7 @@
     async def start_load(self, callers=4):
         self._load_ended = trio.Event()
         self.stop_load, self.load_counts = await self._nursery.start(
-            partial(self.load, callers=callers)
+            partial(self.run_load, callers=callers)
         )
 
     async def end_load(self):
@@ -239,7 +239,7 @@
         return check_answer(self.upstream, topic, answer)
 
     def spawn(self, function, *args):
-        """Run something beside all else until it ends or the world does."""
+        """Start a background task that runs until it ends or the harness is closed."""
         self._nursery.start_soon(function, *args)
 
     async def until(self, condition):
@@ -249,13 +249,13 @@
     async def sleep_for(self, seconds):
         await trio.sleep(seconds)
 
-    async def send_raw(self, port, pieces, pause_s=0.0, read=True):
-        """Send bytes as they are and return what comes back until the other end closes."""
+    async def send_raw(self, port, chunks, pause_s=0.0, read=True):
+        """Send bytes unchanged and return the bytes received until the peer closes."""
         stream = await trio.open_tcp_stream(LOOPBACK, port)
         received = b""
         async with stream:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._send_pieces, stream, pieces, pause_s)
+                nursery.start_soon(self._send_chunks, stream, chunks, pause_s)
                 try:
                     while read and (data := await stream.receive_some()):
                         received += data
@@ -264,17 +264,17 @@
                 nursery.cancel_scope.cancel()
         return received
 
-    async def _send_pieces(self, stream, pieces, pause_s):
+    async def _send_chunks(self, stream, chunks, pause_s):
         try:
-            for piece in pieces:
-                await stream.send_all(piece)
+            for chunk in chunks:
+                await stream.send_all(chunk)
                 await trio.sleep(pause_s)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
 
 def world(context) -> EntryWorld:
-    """Return the scenario's world, which ends with the scenario."""
+    """Return the harness of the scenario, which is closed when the scenario ends."""
     if not hasattr(context, "entry_world"):
         context.entry_world = EntryWorld()
         context.add_cleanup(context.entry_world.close)
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,10 +1,10 @@
-"""Settings that hold for every feature."""
+"""Settings for all features."""
 
 from __future__ import annotations
 
 from hypothesis import HealthCheck, settings
 
-# One fixed seed for every differential test, so that CI gives the same verdict each run.
+# Property tests draw the same examples in every run, so that results in CI are reproducible.
 settings.register_profile(
     "ci",
     derandomize=True,
--- a/features/steps/docs_capacity_steps.py
+++ b/features/steps/docs_capacity_steps.py
@@ -16,25 +16,25 @@
     assert abs(slope.fit - 1) < 1e-9 and abs(slope.at(100) - 210) < 1e-9, slope
 
 
-@then("a capacity slope through two points is refused")
+@then("a capacity slope through two points is rejected")
 def step_two_points(context):
     try:
         fit_slope("line", "us", "item", (1, 2), (1, 2))
     except ValueError:
         return
-    raise AssertionError("two points were taken for a slope")
+    raise AssertionError("expected ValueError for a slope through two points")
 
 
-@then("docs/CAPACITY.md shows the same limits as the capacity bench, each with a verdict")
+@then("docs/CAPACITY.md lists the limits of the capacity benchmark, each with the right verdict")
 def step_goal_lines(context):
     slope = fit_slope("line", "us", "item", (1, 2, 3), (1, 2, 3))
-    wanted = [goal.name for goal in goals(Slopes(*[slope] * len(Slopes._fields)), 1.0)]
+    expected = [goal.name for goal in goals(Slopes(*[slope] * len(Slopes._fields)), 1.0)]
     lines = Path("docs/CAPACITY.md").read_text().splitlines()
-    shown = [line.split() for line in lines if line.startswith("goal ")]
-    assert [words[1] for words in shown] == wanted, (shown, wanted)
-    for words in shown:
-        verdict = "met" if float(words[2]) <= float(words[3]) else "missed"
-        assert words[4] == verdict, words
+    goal_lines = [line.split() for line in lines if line.startswith("goal ")]
+    assert [fields[1] for fields in goal_lines] == expected, (goal_lines, expected)
+    for fields in goal_lines:
+        verdict = "met" if float(fields[2]) <= float(fields[3]) else "missed"
+        assert fields[4] == verdict, fields
 
 
 @then('a capacity goal of {value} against 1.0 is "{verdict}"')
--- a/features/steps/docs_catalogue_steps.py
+++ b/features/steps/docs_catalogue_steps.py
@@ -13,11 +13,11 @@
 LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 
 
-@then('the catalogue page "{name}" is what the code gives')
+@then('the catalogue page "{name}" equals the output of the generator')
 def step_page(context, name):
-    wanted = {path.name: text for path, text in pages().items()}[name]
-    found = Path("docs", name).read_text()
-    assert found == wanted, f"docs/{name} is out of date: run make catalogues and commit the pages"
+    expected = {path.name: text for path, text in pages().items()}[name]
+    actual = Path("docs", name).read_text()
+    assert actual == expected, f"docs/{name} is out of date: run make catalogues and commit it"
 
 
 @then("no two log events have the same number and each is in a known range")
@@ -38,12 +38,12 @@
     assert unused == [], unused
 
 
-@then("each relative link in the catalogue of docs leads to a file that exists")
+@then("each relative link in the documentation points to a file that exists")
 def step_links(context):
-    lost = []
-    texts = [*Path("docs").rglob("*.md"), *Path(".").glob("*.md")]
-    for path in texts:
+    broken_links = []
+    doc_paths = [*Path("docs").rglob("*.md"), *Path(".").glob("*.md")]
+    for path in doc_paths:
         for target in LINK.findall(path.read_text()):
             if "://" not in target and not (path.parent / target).exists():
-                lost.append(f"{path}: {target}")
-    assert lost == [], lost
+                broken_links.append(f"{path}: {target}")
+    assert broken_links == [], broken_links
--- a/features/steps/docs_guarantees_steps.py
+++ b/features/steps/docs_guarantees_steps.py
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-@then("each feature named by the page of guarantees exists")
+@then("each feature named by docs/GUARANTEES.md exists")
 def step_named_features(context):
     page = (ROOT / "docs" / "GUARANTEES.md").read_text()
     rows = [line for line in page.splitlines() if line.startswith("| ") and "`" in line]
