--- a/tools/worth_table.py
+++ b/tools/worth_table.py
@@ -1,10 +1,9 @@
-"""Print which parts of the score each day of a run lost, from entries of ``journal/``.
+"""Show where the worth of played days is lost, from entries of ``journal/``.
 
     python tools/worth_table.py journal/20261203T052245-efa4c7e6.json [...]
 
-The output is a Markdown table for the pages in ``docs/`` with one row for each day. A row shows the
-score, the weighted loss of each part of the credit (its weight times its shortfall from 1), the
-largest penalties and the rules that were violated.
+Each row is a day: its worth, what each part of the credit falls short of 1 by its weight, and the
+largest prices. The rows are Markdown, for the pages in ``docs/``.
 """
 
 from __future__ import annotations
@@ -15,52 +14,52 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-MAX_PENALTIES_SHOWN = 4
+PRICES_SHOWN = 4
 
 
-class DayLosses(NamedTuple):
-    """The losses of one day of a run, as fractions of the maximum score."""
+class DayLoss(NamedTuple):
+    """What one played day lost, as shares of the worth that could be earned."""
 
     name: str
-    score: float
+    worth: float
     parts: dict[str, float]
-    """The weighted loss by part of the credit."""
-    penalties: list[tuple[str, float]]
-    """The largest penalties, in descending order."""
-    violations: dict[str, int]
-    """The number of violations by rule."""
+    """By part of the credit."""
+    prices: list[tuple[str, float]]
+    """The largest ones, first the largest."""
+    broken: dict[str, int]
+    """The rules that were broken, and how often."""
 
     def row(self) -> str:
-        """Return the row of the day in the Markdown table."""
-        parts = ", ".join(f"{name} {loss:.3f}" for name, loss in self.parts.items())
-        penalties = ", ".join(f"{name} {penalty:.3f}" for name, penalty in self.penalties)
-        violations = ", ".join(self.violations) or "none"
-        return f"| {self.name} | {self.score:.3f} | {parts} | {penalties} | {violations} |"
+        """Return the day as a row of a Markdown table."""
+        parts = ", ".join(f"{name} {lost:.3f}" for name, lost in self.parts.items())
+        prices = ", ".join(f"{name} {price:.3f}" for name, price in self.prices)
+        broken = ", ".join(self.broken) or "none"
+        return f"| {self.name} | {self.worth:.3f} | {parts} | {prices} | {broken} |"
 
 
-def losses(entry: dict[str, Any]) -> Iterator[DayLosses]:
-    """Yield the losses of each day of a journal entry, except days without a score."""
+def losses(entry: dict[str, Any]) -> Iterator[DayLoss]:
+    """Return what each day of a journal entry lost; days that were given up are left out."""
     for day in entry.get("days") or []:
         if day.get("G") is None:
             continue
         parts = {name: weight * (1.0 - share) for name, weight, share in day["parts"]}
-        penalties = sorted(((name, penalty) for name, _, penalty in day["prices"]), key=_descending)
-        yield DayLosses(day["name"], day["G"], parts, penalties[:MAX_PENALTIES_SHOWN], day["rules"])
+        prices = sorted(((name, price) for name, _, price in day["prices"]), key=_by_price)
+        yield DayLoss(day["name"], day["G"], parts, prices[:PRICES_SHOWN], day["rules"])
 
 
-def _descending(penalty: tuple[str, float]) -> float:
-    return -penalty[1]
+def _by_price(price: tuple[str, float]) -> float:
+    return -price[1]
 
 
 def main(paths: list[str]) -> int:
-    """Print a table for each entry and return the exit code."""
+    """Print a table for each entry; return the exit code."""
     if not paths:
         print(__doc__)
         return 2
     for path in paths:
         entry = json.loads(Path(path).read_text())
         print(f"{entry['site']}: {entry['why']}\n")
-        print("| day | score | credit lost | largest penalties | rules violated |")
+        print("| day | worth | lost of the credit | largest prices | rules broken |")
         print("| --- | --- | --- | --- | --- |")
         for day in losses(entry):
             print(day.row())
