--- a/features/steps/hand_over_steps.py
+++ b/features/steps/hand_over_steps.py
@@ -77,11 +77,11 @@
             if what == "answers":
                 return
             if what == "cannot be reached":
-                run.lost(host, False, now)
+                run.handle_loss(host, False, now)
             elif what == "is lost while it has the request":
-                run.lost(host, True, now)
+                run.handle_loss(host, True, now)
             else:
-                run.refused(host, Failure(REFUSALS[what], what), now)
+                run.handle_refusal(host, Failure(REFUSALS[what], what), now)
     except AlderhatchError as exc:
         context.ended = exc.failure.kind
 
--- a/features/steps/tier_size_steps.py
+++ b/features/steps/tier_size_steps.py
@@ -152,12 +152,12 @@
     search.begin_round(places)
     for index in range(len(places)):
         place = search.next_place()
-        scope = search.begin_attempt(place)
+        scope = search.begin_query(place)
         with scope:
             if index < unanswered:
                 scope.cancel()
             await trio.lowlevel.checkpoint()
-        search.end_attempt(place)
+        search.end_query(place)
     search.end_round()
 
 
--- a/src/alderhatch/cli/difference.py
+++ b/src/alderhatch/cli/difference.py
@@ -1,4 +1,4 @@
-"""Differences between the configuration of a tier and a declaration."""
+"""Differences between the current configuration of a tier and a declaration file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Difference(NamedTuple):
-    """A difference between the tier and a declaration."""
+    """One change that turns the current configuration into the declared one."""
 
     change: str
     """``added``, ``withdrawn``, ``edited`` or ``moved``."""
@@ -17,7 +17,9 @@
     field: str
     """The edited field; empty if the change concerns the whole rule."""
     now: object
+    """The current value of the field or place of the rule; None if there is none."""
     declared: object
+    """The declared value or place; None if there is none."""
 
 
 def compare_rules(
@@ -55,11 +57,11 @@
 
 
 def _find_moved(old: list[str], new: list[str]) -> set[str]:
-    """Return the rules to move to turn one order into the other."""
-    kept: set[str] = set()
+    """Return the names of the rules that have to move to turn the old order into the new one."""
+    unmoved: set[str] = set()
     for block in SequenceMatcher(None, old, new, autojunk=False).get_matching_blocks():
-        kept |= set(old[block.a : block.a + block.size])
-    return set(old) - kept
+        unmoved |= set(old[block.a : block.a + block.size])
+    return set(old) - unmoved
 
 
 def _find_edited_fields(
@@ -75,7 +77,7 @@
 
 def _flatten(rule: Mapping[str, Any]) -> dict[str, Any]:
     return {
-        f"{part}.{field}": value
-        for part in ("when", "then")
-        for field, value in rule.get(part, {}).items()
+        f"{section}.{field}": value
+        for section in ("when", "then")
+        for field, value in rule.get(section, {}).items()
     }
--- a/src/alderhatch/control/_member_reconciler.py
+++ b/src/alderhatch/control/_member_reconciler.py
@@ -1,4 +1,4 @@
-"""Brings the members of the log in line with the control hosts that operators have declared."""
+"""Adds, promotes and removes members of the log until they match the declared control hosts."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
     Args:
         controls: The declared control hosts by name.
-        status: This host's view of the log, with its members.
+        status: The status of the log at this host, with its members.
         caught_up: The learners that respond and have nearly all of the log.
     """
     members = {*status.voters, *status.learners}
@@ -53,7 +53,12 @@
 
 
 class MemberReconciler:
-    """Changes the members one step at a time while this host is the leader."""
+    """Changes the members of the log one step at a time while this host is the leader.
+
+    Args:
+        log: The log whose members are changed.
+        observed: The control state that this host has applied, with the declared control hosts.
+    """
 
     def __init__(self, log: ControlLog, observed: ObservedState) -> None:
         self._log = log
@@ -62,11 +67,13 @@
     async def run(self) -> None:
         """Execute steps until cancelled."""
         while True:
-            step = self._next()
+            step = self._next_step()
             failed = step is not None and not await execute_step(self._log, step)
             await trio.sleep((RETRY_INTERVAL if failed else STEP_INTERVAL) / SECOND)
 
-    def _next(self) -> MembershipStep | None:
+    def _next_step(self) -> MembershipStep | None:
         status = self._log.status()
-        ready = frozenset(name for name in status.learners if self._log.caught_up(name))
-        return next_step(self._observed.state.hosts.controls, status, ready)
+        caught_up_learners = frozenset(
+            name for name in status.learners if self._log.caught_up(name)
+        )
+        return next_step(self._observed.state.hosts.controls, status, caught_up_learners)
--- a/src/alderhatch/control/_operator_bodies.py
+++ b/src/alderhatch/control/_operator_bodies.py
@@ -67,7 +67,7 @@
 
 
 class DepartBody(ChangeBody):
-    """Declare that a host leaves for good."""
+    """Declare that a host leaves permanently."""
 
     role: Annotated[HostRole, Field(strict=False)]
     upstream: str = ""
--- a/src/alderhatch/control/leader_link.py
+++ b/src/alderhatch/control/leader_link.py
@@ -210,7 +210,7 @@
                 await link.send(RelayedRenewals(number, [renewal for renewal, _ in batch]))
                 await call.done.wait()
             if not call.done.is_set():
-                # A connection can stop delivering for good although the leader is up. If it were
+                # A connection can stop delivering permanently although the leader is up. If it were
                 # kept open, every entry that renews over this host would lose its lease.
                 scope.cancel()
         except LinkClosedError:
--- a/src/alderhatch/core/forwarding/hand_over.py
+++ b/src/alderhatch/core/forwarding/hand_over.py
@@ -14,13 +14,14 @@
 AVOID_DURATION: Millis = 1 * SECOND
 """How long a host is avoided after it could not be reached or refused a request."""
 AVOID_SILENT_DURATION: Millis = 300.0
-"""How long a host is avoided after it did not respond in time. It may only be busy, and its work
-falls to other hosts."""
+"""How long a host is avoided after it did not respond in time: shorter, as it may only be busy, and
+other hosts have to do its work meanwhile."""
 RETRY_AFTER: Millis = 300.0
+"""The retry delay that a caller is told when no active host can be reached."""
 
 
 class HandOverTargets:
-    """Remembers which hosts accepted requests and which did not.
+    """Chooses hosts to hand requests over to, and avoids those that failed a short time ago.
 
     Args:
         name: This host's name.
@@ -34,10 +35,12 @@
         self._rng = rng
         self._avoided_until: dict[str, Millis] = {}
 
-    def avoid(self, name: str, now: Millis, span: Millis = AVOID_DURATION) -> None:
-        """Avoid a host for a while."""
-        known = {one: until for one, until in self._avoided_until.items() if until > now}
-        self._avoided_until = {**known, name: now + span}
+    def avoid(self, name: str, now: Millis, duration: Millis = AVOID_DURATION) -> None:
+        """Avoid a host for a duration: it is chosen only if all others are avoided or tried."""
+        unexpired = {
+            host_name: until for host_name, until in self._avoided_until.items() if until > now
+        }
+        self._avoided_until = {**unexpired, name: now + duration}
 
     def is_avoided(self, name: str, now: Millis) -> bool:
         """Return whether a host is avoided at this moment."""
@@ -55,9 +58,9 @@
         """
         excluded = {self._name, *tried}
         untried = [host for host in hosts if host.name not in excluded]
-        healthy = [host for host in untried if self._avoided_until.get(host.name, 0.0) <= now]
-        near = [host for host in healthy if host.zone == self._zone]
-        for candidates in (near, healthy, untried):
+        not_avoided = [host for host in untried if self._avoided_until.get(host.name, 0.0) <= now]
+        near = [host for host in not_avoided if host.zone == self._zone]
+        for candidates in (near, not_avoided, untried):
             if candidates:
                 return self._rng.choice(candidates)
         return None
@@ -67,10 +70,10 @@
     """One request that is handed over, until another host has answered or none can.
 
     A request that reached another host may have run there, so it goes to a further host only if the
-    first one reports that it did not run.
+    previous one reports that it did not run.
 
     Args:
-        targets: Which hosts accepted requests lately.
+        targets: Chooses the hosts.
         hosts: Returns the hosts that are active now.
         deadline: When the caller stops waiting.
     """
@@ -103,8 +106,8 @@
         self._tried.append(host.name)
         return host
 
-    def refused(self, host: HostRecord, failure: Failure, now: Millis) -> None:
-        """Handle a host's refusal.
+    def handle_refusal(self, host: HostRecord, failure: Failure, now: Millis) -> None:
+        """Handle a host's refusal of the request.
 
         Raises:
             AlderhatchError: If the request should not be sent to another host.
@@ -114,7 +117,7 @@
         self._targets.avoid(host.name, now)
         self._last_error = AlderhatchError(failure)
 
-    def lost(self, host: HostRecord, was_sent: bool, now: Millis) -> None:
+    def handle_loss(self, host: HostRecord, was_sent: bool, now: Millis) -> None:
         """Handle the loss of the connection to a host.
 
         Raises:
--- a/src/alderhatch/core/forwarding/hedge_timer.py
+++ b/src/alderhatch/core/forwarding/hedge_timer.py
@@ -1,4 +1,4 @@
-"""Decides when a second server is queried for a part that has not arrived."""
+"""Decides when a shard request is hedged: sent to a second server, as no answer has arrived."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 from .target_table import TargetTable
 
 EARLIEST_HEDGE_QUANTILE = 0.75
-"""With the whole budget left, a part is hedged when it takes longer than this quantile of the
+"""With the whole hedge budget left, a part is hedged when it takes longer than this quantile of the
 route's latencies."""
 LATEST_HEDGE_QUANTILE = 0.97
-"""The same with the budget nearly exhausted. In between the delay follows the budget, so that it
-lasts: the rarer the hedges, the more likely each of them replaces a stalled server."""
+"""The same with the budget nearly exhausted. In between, the less budget is left, the later a part
+is hedged, so that the budget lasts: the rarer the hedges, the more likely each of them replaces a
+stalled server."""
 MIN_SAMPLES = 40
 UNSAMPLED_DELAY_FACTOR = 2.0
 """Before there are enough samples, a part is hedged after this multiple of the median latency."""
@@ -25,7 +26,7 @@
     Args:
         route: The name of its route.
         table: The servers, with their latencies and what is left of their budgets.
-        due: When a hedge's answer has to arrive, for a share of a gather; None for no such limit.
+        due: When the parts of a share of a gather have to arrive; None for other requests.
     """
 
     def __init__(self, route: str, table: TargetTable, due: Millis | None) -> None:
@@ -34,16 +35,16 @@
         self._due = due
 
     def hedge_at(self, upstream: str, sent_at: Millis) -> Millis:
-        """Return when a request sent at a given time is hedged.
+        """Return when a shard request sent at a given time is hedged.
 
         While many servers are slow, most quantiles of the latencies are those of slow servers. A
         hedge that waits for such a quantile is too late to help.
         """
-        regular = sent_at + self._delay(upstream, sent_at)
+        by_latency = sent_at + self._delay(upstream, sent_at)
         if self._due is None:
-            return regular
+            return by_latency
         latest = self._due - DUE_MARGIN_FACTOR * self._median_latency(upstream)
-        return regular if latest <= sent_at + MIN_HEDGE_DELAY else min(regular, latest)
+        return by_latency if latest <= sent_at + MIN_HEDGE_DELAY else min(by_latency, latest)
 
     def _median_latency(self, upstream: str) -> Millis:
         latencies = self._table.route_latencies(self._route)
--- a/src/alderhatch/node/hand_over_client.py
+++ b/src/alderhatch/node/hand_over_client.py
@@ -90,7 +90,7 @@
         return not self._targets.is_avoided(name, now)
 
     def avoid(self, name: str, now: Millis, duration: Millis = AVOID_DURATION) -> None:
-        """Avoid a host for a while."""
+        """Avoid a host for a duration; see ``HandOverTargets.avoid``."""
         self._targets.avoid(name, now, duration)
 
     async def request_parts(
@@ -138,15 +138,15 @@
             try:
                 reply = await self._link_to(host).call(self._to_message(http, deadline - now))
             except HandOverLostError as exc:
-                run.lost(host, exc.was_sent, self._clock.now())
+                run.handle_loss(host, exc.was_sent, self._clock.now())
                 continue
             if isinstance(reply, HandedAnswer):
                 self._state.record_seen_version(reply.version)
                 return HandedResponse(host.name, _response(reply))
             if isinstance(reply, PartsEnd):
-                run.lost(host, True, self._clock.now())
+                run.handle_loss(host, True, self._clock.now())
                 continue
-            run.refused(host, _failure(reply), self._clock.now())
+            run.handle_refusal(host, _failure(reply), self._clock.now())
 
     def _to_message(self, http: HttpRequest, remaining: Millis) -> HandedRequest:
         return HandedRequest(
--- a/src/alderhatch/node/host_probe.py
+++ b/src/alderhatch/node/host_probe.py
@@ -10,7 +10,7 @@
 from ..core.forwarding.caller_hosts import HostRecord
 from ..log import log_event
 from ..log_events import LogEvent
-from .leader_search import DIAL_TIMEOUT
+from .leader_search import ANSWER_TIMEOUT
 from .node_state import NodeState
 from .tier_client import LEADER_SILENCE_TIMEOUT
 
@@ -49,7 +49,7 @@
 async def _probe_host(host: HostRecord, reached: dict[str, bool]) -> None:
     reached[host.name] = False
     address, _, port = host.caller_address.rpartition(":")
-    with trio.move_on_after(DIAL_TIMEOUT / SECOND):
+    with trio.move_on_after(ANSWER_TIMEOUT / SECOND):
         try:
             stream = await trio.open_tcp_stream(address, int(port))
         except OSError:
--- a/src/alderhatch/node/leader_announcements.py
+++ b/src/alderhatch/node/leader_announcements.py
@@ -52,5 +52,5 @@
             async with open_link(seed.address, seed.port, codec, secret, peer) as link:
                 await link.send(Introduction(me))
         except LinkClosedError:
-            # The seed may be gone for good; the next round tries it again.
+            # The seed may be gone permanently; the next round tries it again.
             return
--- a/src/alderhatch/node/node_state.py
+++ b/src/alderhatch/node/node_state.py
@@ -48,7 +48,7 @@
         name: This host's name.
         zone: This host's availability zone.
         decode: Decodes configurations.
-        pool: The connections to servers, kept in line with the server list.
+        pool: The connections to servers, opened and closed as the server list changes.
         budget_limits: The limits of the budget for additional requests.
         policy: The parameters of server selection.
         clock: The time source.
--- a/src/alderhatch/node/parts_collector.py
+++ b/src/alderhatch/node/parts_collector.py
@@ -1,4 +1,4 @@
-"""Queries servers for a share of a gather and reports the merged parts."""
+"""Queries servers for a share of a gather, which are the shards that this host has to query."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PartsCollector:
-    """Runs shares of gathers.
+    """Runs shares of gathers and reports the parts, merged, as they arrive.
 
     Args:
         runner: Sends the requests to servers.
@@ -74,14 +74,14 @@
             self._report(run, on_parts, reported, False)
 
     def _report(
-        self, run: ForwardRun, on_parts: PartsHandler, reported: set[str], even_if_empty: bool
+        self, run: ForwardRun, on_parts: PartsHandler, reported: set[str], report_if_empty: bool
     ) -> None:
         new_parts = {
             name: cast(HttpReply, shard.part)
             for name, shard in run.shards.items()
             if shard.part is not None and name not in reported
         }
-        if not new_parts and not even_if_empty:
+        if not new_parts and not report_if_empty:
             return
         reported.update(new_parts)
         destination = cast(AllShards, run.route.destination)
--- a/src/alderhatch/node/tier_client.py
+++ b/src/alderhatch/node/tier_client.py
@@ -139,7 +139,7 @@
         peer = Peer(self._join().place.name, HOST_ROLE)
         follows = False
         try:
-            with search.begin_attempt(place):
+            with search.begin_query(place):
                 async with open_link(
                     place.address, place.port, self._codec, self._secret, peer
                 ) as link:
@@ -157,7 +157,7 @@
         except LinkClosedError:
             pass
         finally:
-            search.end_attempt(place)
+            search.end_query(place)
             if follows:
                 log_event(LogEvent.LEADER_LOST, leader=place.name, address=place.address)
                 self.leader = None
--- a/src/alderhatch/node/voter_plan.py
+++ b/src/alderhatch/node/voter_plan.py
@@ -36,9 +36,10 @@
 def voter_loss_timeout(catch_up: Millis) -> Millis:
     """Return how long a voter may be silent before a spare host replaces it.
 
-    After a host is lost for good, its successor has the catch-up time to replace it. From then on
-    the next host may be lost. If the successor still had no vote at that point, the log would lose
-    its majority for good: no change could be accepted, and acknowledged changes could not be read.
+    After a host is lost permanently, its successor has the catch-up time to replace it. From then
+    on the next host may be lost. If the successor still had no vote at that point, the log would
+    lose its majority permanently: no change could be accepted, and acknowledged changes could not
+    be read.
     Replacing a voter too early does no harm, as a returning host receives the log again.
 
     Args:
--- a/src/alderhatch/request_history.py
+++ b/src/alderhatch/request_history.py
@@ -10,7 +10,7 @@
 from .log_events import LogEvent
 
 STATE_LOOKBACK = timedelta(seconds=5)
-"""How long before a request a state change may still have affected it."""
+"""A state change up to this long before a line of a request may have affected the request."""
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 REQUEST_EVENTS = frozenset(
     event.number
@@ -21,6 +21,7 @@
         LogEvent.SHARE_LOST,
     )
 )
+"""Events that name the request they belong to."""
 STATE_EVENTS = frozenset(
     event.number
     for event in (
@@ -42,7 +43,7 @@
 
 
 class LogLine(NamedTuple):
-    """One event from a log."""
+    """One event of a log, as parsed from its line."""
 
     time: datetime
     host: str
@@ -95,17 +96,17 @@
     return line.number in REQUEST_EVENTS and line.fields.get("request") == request_id
 
 
-def _is_relevant_to(line: LogLine, own_line: LogLine) -> bool:
+def _is_relevant_to(line: LogLine, line_of_request: LogLine) -> bool:
     if (
-        line.host != own_line.host
-        or not own_line.time - STATE_LOOKBACK <= line.time <= own_line.time
+        line.host != line_of_request.host
+        or not line_of_request.time - STATE_LOOKBACK <= line.time <= line_of_request.time
     ):
         return False
     if line.number in STATE_EVENTS:
         return True
     if line.number != LogEvent.SERVER_BELIEF.number:
         return False
-    servers = {step.get("server") for step in own_line.fields.get("steps", ())}
+    servers = {step.get("server") for step in line_of_request.fields.get("steps", ())}
     return line.fields.get("server_id") in servers
 
 
--- a/src/alderhatch/settings/shadowing.py
+++ b/src/alderhatch/settings/shadowing.py
@@ -16,6 +16,7 @@
     position: int
     """Position of the shadowed rule, counted from 1."""
     rule: str
+    """Name of the shadowed rule."""
     by_position: int
     """Position of the earlier rule, counted from 1."""
     by: str
--- a/src/alderhatch/standin/garbled_answer.py
+++ b/src/alderhatch/standin/garbled_answer.py
@@ -26,7 +26,7 @@
 
 
 def http_answer(status: int, body: bytes, length: int | None = None) -> bytes:
-    """Return a complete HTTP response; ``length`` replaces its true Content-Length."""
+    """Return an HTTP response; ``length`` is sent as Content-Length in place of the true one."""
     size = len(body) if length is None else length
     head = (
         f"HTTP/1.1 {status} X\r\nContent-Type: application/json\r\nContent-Length: {size}\r\n\r\n"
--- a/src/alderhatch/storage/_frame.py
+++ b/src/alderhatch/storage/_frame.py
@@ -24,7 +24,7 @@
 
 def _checksum(payload: bytes, file_number: int, offset: int) -> int:
     # The seed contains the file number and the offset, so that neither a block that the disk wrote
-    # to the wrong place nor the bytes of a frame inside a command pass as a valid frame.
+    # to the wrong place nor a frame's bytes within the payload of another pass as a valid frame.
     seed = (file_number << 32) ^ offset ^ (len(payload) << 16)
     return xxh3_64_intdigest(payload, seed & 0xFFFF_FFFF_FFFF_FFFF)
 
