--- a/src/alderhatch/core/forwarding/hedge_timer.py
+++ b/src/alderhatch/core/forwarding/hedge_timer.py
@@ -6,7 +6,7 @@
 from .target_table import TargetTable
 
 EARLIEST_HEDGE_QUANTILE = 0.75
-"""With the whole hedge budget left, a part is hedged when it takes longer than this quantile of the
+"""With the whole retry budget left, a part is hedged when it takes longer than this quantile of the
 route's latencies."""
 LATEST_HEDGE_QUANTILE = 0.97
 """The same with the budget nearly exhausted. In between, the less budget is left, the later a part
--- a/src/alderhatch/core/raft/membership.py
+++ b/src/alderhatch/core/raft/membership.py
@@ -16,11 +16,11 @@
 
     A host whose disk was replaced has lost its votes and its entries. Under its old ID it could
     vote twice in one term, and it would count towards majorities without holding the entries that
-    they committed. So the ID belongs to the data directory, and a new directory is a new member.
+    they committed. So the ID belongs to the data folder, and a new folder is a new member.
     """
 
     member_id: str
-    """The ID of the data directory, which is never reused."""
+    """The ID of the data folder, which is never reused."""
     name: str
     """The name of the host in its settings."""
     address: str
