--- a/src/alderhatch/core/forwarding/split_run.py
+++ b/src/alderhatch/core/forwarding/split_run.py
@@ -18,7 +18,7 @@
 """After this fraction, the parts of a host that has reported nothing are queried here as well."""
 MIN_SILENCE_TIMEOUT: Millis = 60.0
 """A host that works on two other large gathers sends its first report some 30 ms late. With a
-shorter time-out, servers would get each part twice just when hosts are busy."""
+shorter timeout, servers would get each part twice just when hosts are busy."""
 HOP_LATENCY: Millis = 3.0
 """From one host's last report to its merge at the other host."""
 
--- a/src/alderhatch/node/tier_server.py
+++ b/src/alderhatch/node/tier_server.py
@@ -305,9 +305,12 @@
             self.updates_pending.notify()
 
     def _assign_modes(self, host_names: set[str], now: Millis) -> bool:
-        """Decide which hosts get the server list and which stand by; return whether any changed.
+        """Decide which hosts get the server list, the others being on standby.
 
         A host that serves keeps that mode, as its connections are open and it may be needed again.
+
+        Returns:
+            Whether the mode of any host changed.
         """
         is_small = len(self._sessions) <= MIN_ADVERTISED_HOSTS
         has_changed = False
